--- a/gullstall/src/mesh/admission.cpp
+++ b/gullstall/src/mesh/admission.cpp
@@ -7,31 +7,32 @@
 
 namespace {
 
-/// How long the averages over the nodes serve.
-constexpr duration states_memory = milliseconds(20);
+/// How long the computed service states are reused before they are recomputed.
+constexpr duration service_states_ttl = milliseconds(20);
 
-/// Change of demand or capacity, as a share of the capacity, that is told at once.
-/// Smaller ones go with the next status.
-constexpr double told_change = 0.1;
+/// Change of demand or capacity, as a fraction of the capacity, that is sent to the
+/// other nodes at once. Smaller changes go out with the next periodic status.
+constexpr double min_reported_change = 0.1;
 
-/// Part of the capacity below which changes can wait: nothing is refused there.
-constexpr double calm_part = 0.7;
+/// Fraction of the capacity below which demand changes are not urgent: no request is
+/// refused at that load.
+constexpr double uncongested_fraction = 0.7;
 
-/// Change of what runs ask for, in calls a run, that is told.
-constexpr double told_calls_change = 0.2;
+/// Change of the learned calls per run that is sent to the other nodes.
+constexpr double min_reported_calls_change = 0.2;
 
 constexpr double milli = 1000;
 
 bool has_changed(const calls_per_run &before, const calls_per_run &now)
 {
     return std::any_of(now.begin(), now.end(), [&](const auto &entry) {
-        auto known = before.find(entry.first);
-        double was = known == before.end() ? 0 : known->second;
-        return std::abs(entry.second - was) > told_calls_change;
+        auto found = before.find(entry.first);
+        double was = found == before.end() ? 0 : found->second;
+        return std::abs(entry.second - was) > min_reported_calls_change;
     });
 }
 
-mesh_wire::chain_news_message news_of(const std::map<std::string, calls_per_run> &calls)
+mesh_wire::chain_news_message to_chain_news(const std::map<std::string, calls_per_run> &calls)
 {
     mesh_wire::chain_news_message out;
     for (const auto &[route, children] : calls) {
@@ -46,7 +47,7 @@
     return out;
 }
 
-void renew_plan(mesh_turn &t)
+void refresh_plan(mesh_turn &t)
 {
     if (t.n.plan_is_old) {
         plan_levels(t.n.plan, *t.n.policy, t.n.on);
@@ -68,12 +69,13 @@
     return static_cast<std::uint64_t>(n);
 }
 
-/// Takes what has changed of the own runs into what is told.
-/// \returns whether there was something
-bool note_own_calls(mesh_turn &t)
+/// Copies calls per run learned from local runs into the values that are sent to the
+/// other nodes and to the store, where they have changed.
+/// \returns whether the values for the other nodes have changed
+bool update_reported_calls(mesh_turn &t)
 {
     bool changed = false;
-    for (const auto &[route, seen] : t.n.chain.below) {
+    for (const auto &[route, samples] : t.n.chain.below) {
         std::optional<calls_per_run> learned = learned_calls(t.n.chain, route);
         if (learned && has_changed(t.n.told_calls[route], *learned)) {
             t.n.told_calls[route] = *learned;
@@ -93,8 +95,8 @@
 
 entry_verdict judge_at_entry(mesh_turn &t, const std::string &route, double place)
 {
-    renew_plan(t);
-    if (t.now - t.n.states_at >= states_memory) {
+    refresh_plan(t);
+    if (t.now - t.n.states_at >= service_states_ttl) {
         refresh_own_view(t);
         t.n.states = states_of_services(t.n.nodes, t.now);
         t.n.states_at = t.now;
@@ -105,8 +107,8 @@
     admitted_shares shares = shares_of(t.n.plan, route, t.n.states, t.n.on);
     double share = admitted_share(shares);
     if (place >= share) {
-        bool has_room = place < shares.by_room;
-        return entry_verdict{has_room ? mesh_wire::reason::shed : mesh_wire::reason::overload,
+        bool has_capacity = place < shares.by_room;
+        return entry_verdict{has_capacity ? mesh_wire::reason::shed : mesh_wire::reason::overload,
                              share};
     }
     return entry_verdict{std::nullopt, share};
@@ -117,17 +119,17 @@
     if (!t.n.policy || !t.n.upstream.latest || !update_gate_demand(t.n.demand, t.now)) {
         return;
     }
-    renew_plan(t);
+    refresh_plan(t);
     t.n.capacity = capacity_of(t.n.gate);
     t.n.demand_parts = demand_by_weight(t.n.demand, t.n.plan.weights[t.n.upstream.latest->service]);
     double demand = total_demand(t.n.demand_parts);
     double capacity = t.n.capacity.beside_queue;
-    double least_change = told_change * capacity;
-    bool has_moved = std::abs(demand - t.n.told_demand) > least_change ||
-                     std::abs(capacity - t.n.told_capacity) > least_change;
-    bool was_calm = t.n.told_demand < calm_part * t.n.told_capacity;
-    bool is_calm = demand < calm_part * capacity;
-    if (!has_moved || (was_calm && is_calm)) {
+    double min_change = min_reported_change * capacity;
+    bool has_moved = std::abs(demand - t.n.told_demand) > min_change ||
+                     std::abs(capacity - t.n.told_capacity) > min_change;
+    bool was_uncongested = t.n.told_demand < uncongested_fraction * t.n.told_capacity;
+    bool is_uncongested = demand < uncongested_fraction * capacity;
+    if (!has_moved || (was_uncongested && is_uncongested)) {
         return;
     }
     t.n.told_demand = demand;
@@ -145,13 +147,13 @@
 
 void spread_chain_news(mesh_turn &t, bool to_all, std::optional<link_ref> link)
 {
-    bool changed = note_own_calls(t);
+    bool changed = update_reported_calls(t);
     if ((!changed && !to_all) || t.n.told_calls.empty()) {
         return;
     }
     for (const auto &[each, clock] : t.n.links) {
         if (changed || each == link) {
-            t.out.emplace_back(send_to_link{each, mesh_frame(news_of(t.n.told_calls))});
+            t.out.emplace_back(send_to_link{each, mesh_frame(to_chain_news(t.n.told_calls))});
         }
     }
 }
--- a/gullstall/src/mesh/expiry.hpp
+++ b/gullstall/src/mesh/expiry.hpp
@@ -8,11 +8,11 @@
 
 namespace gullstall::mesh {
 
-/// What expires when, the soonest first.
+/// References ordered by expiry time, soonest first.
 template <class Ref>
 using expiry_queue = std::multimap<time_point, Ref>;
 
-/// Takes the entry of \a id, which expires at \a when, out of the queue.
+/// Removes the entry of \a id, which expires at \a when, from the queue.
 template <class Ref>
 void erase_expiry(expiry_queue<Ref> &it, time_point when, Ref id)
 {
--- a/gullstall/src/mesh/gate_demand.cpp
+++ b/gullstall/src/mesh/gate_demand.cpp
@@ -6,35 +6,37 @@
 
 namespace {
 
-/// Time between two moves of the averages: a busy upstream gets some tens of
-/// calls in it.
+/// Length of a measurement window. A busy upstream gets some tens of calls in it.
 constexpr duration window = milliseconds(100);
 
-/// Weight of a window: about the last 0.4 s count. Less follows the chance of
-/// single arrivals, more lets a burst fill the queues before it is seen.
+/// Weight of one window in the moving average, which covers about the last 0.4 s. A
+/// larger weight makes the average follow the noise of single arrivals; a smaller one
+/// lets a burst fill the queues before it is detected.
 constexpr double window_weight = 0.25;
 
-/// A route whose demand has faded below this is forgotten, calls a second.
-constexpr double least_demand = 0.05;
+/// Demand in calls per second below which a route is removed.
+constexpr double min_demand_per_s = 0.05;
 
-/// Time in which what waits is to be worked off. All slots are planned for, and the
-/// queue alone says when that is too much: less than all would let slots idle. A longer
-/// time keeps calls of long chains waiting, whose runs hold the slots above meanwhile.
-constexpr double work_off_s = 0.5;
+/// Time in which the queue is to be drained. The capacity counts all slots, and only
+/// the queue reduces it, because planning with fewer slots would leave some idle. A longer
+/// time keeps calls of long chains waiting, whose runs occupy slots of other upstreams
+/// meanwhile.
+constexpr double drain_time_s = 0.5;
 
-/// Part of the capacity that is told at least, however much waits.
-constexpr double least_part = 0.25;
+/// Minimum fraction of the capacity that is reported, however long the queue is.
+constexpr double min_capacity_fraction = 0.25;
 
-/// Share of shed calls beyond which capacity is not raised any more.
-constexpr double most_shed = 0.9;
+/// Share of shed calls above which the capacity is not scaled up any further.
+constexpr double max_shed_share = 0.9;
 
 constexpr double milli = 1000;
-constexpr std::uint16_t never_cut = 65535;
+constexpr std::uint16_t never_refused = 65535;
 
 std::uint16_t weight_milli(const std::map<std::string, double> &weights, const std::string &root)
 {
     auto found = weights.find(root);
-    return found == weights.end() ? never_cut : static_cast<std::uint16_t>(found->second * milli);
+    return found == weights.end() ? never_refused
+                                  : static_cast<std::uint16_t>(found->second * milli);
 }
 
 }  // namespace
@@ -54,7 +56,8 @@
         demand.per_s += window_weight * (demand.in_window * windows_per_s - demand.per_s);
         demand.in_window = 0;
     }
-    std::erase_if(it.by_root, [](const auto &entry) { return entry.second.per_s < least_demand; });
+    std::erase_if(it.by_root,
+                  [](const auto &entry) { return entry.second.per_s < min_demand_per_s; });
     it.window_end = now + window;
     return true;
 }
@@ -81,10 +84,11 @@
     }
     constexpr double us_per_s = 1e6;
     double full = it.slots * us_per_s / it.run_us;
-    double free = full - static_cast<double>(it.waiting.size()) / work_off_s;
-    // Calls that the upstream turns away take no slot.
-    double tried = 1 / (1 - std::min(it.shed, most_shed));
-    return gate_capacity{full * tried, std::max(free, full * least_part) * tried};
+    double after_drain = full - static_cast<double>(it.waiting.size()) / drain_time_s;
+    // Calls that the upstream sheds occupy no slot.
+    double attempts_per_run = 1 / (1 - std::min(it.shed, max_shed_share));
+    return gate_capacity{full * attempts_per_run,
+                         std::max(after_drain, full * min_capacity_fraction) * attempts_per_run};
 }
 
 }  // namespace gullstall::mesh
--- a/gullstall/src/mesh/gate_demand.hpp
+++ b/gullstall/src/mesh/gate_demand.hpp
@@ -12,22 +12,22 @@
 
 namespace gullstall::mesh {
 
-/// Least share of a route's requests that is let in: a few always pass, and tell
-/// how many more there are. With one in fifty a gate sees about ten a second of
-/// five hundred that are asked for.
+/// Minimum share of a route's requests that is admitted, so that the gates still see
+/// enough requests to measure the demand: with one in fifty, a gate sees about ten of
+/// 500 requests per second.
 constexpr double least_share = 0.02;
 
-/// What the requests of all callers would ask of an upstream if none was refused,
-/// by the route where they entered. Each call tells which share of its kind was
-/// let in, and so stands for all that were refused beside it. The estimate does
-/// not move with the share: nothing swings, however long the calls of a request
-/// take to arrive.
+/// Estimate of the demand on an upstream if no request was refused, by the route at
+/// which the requests entered. Each call carries the share of its route's requests that
+/// was admitted and is weighted by the inverse of it, so that it also accounts for the
+/// refused ones. The estimate does not depend on the admitted share, which keeps the
+/// control loop from oscillating however long the nested calls take to arrive.
 struct gate_demand
 {
     /// Demand of the requests of one route.
     struct route_demand
     {
-        double in_window = 0;  ///< calls of this window, each for its share
+        double in_window = 0;  ///< calls in the current window, each weighted by 1 / share
         double per_s = 0;      ///< moving average
     };
 
@@ -35,27 +35,27 @@
     time_point window_end{};
 };
 
-/// Notes a call.
-/// \param root route of the caller's request that it belongs to
-/// \param share of the requests of \a root that was let in, above 0
+/// Records the arrival of a call.
+/// \param root route of the caller's request that the call belongs to
+/// \param share admitted share of the requests of \a root, above 0
 void note_arrival(gate_demand &it, const std::string &root, double share);
 
-/// Closes the window when it is over.
-/// \returns whether the averages have moved
+/// Ends the current window if its time is over.
+/// \returns whether the averages were updated
 bool update_gate_demand(gate_demand &it, time_point now);
 
-/// \param weights share that is let in at level 1, by root route; requests of
-/// other routes are not cut for this service
-/// \returns the demand, added up by weight
+/// \param weights admitted share at level 1, by root route; requests of other routes
+/// are never refused on behalf of this service
+/// \returns the demand, summed by weight
 std::vector<mesh_wire::demand_part> demand_by_weight(const gate_demand &it,
                                                      const std::map<std::string, double> &weights);
 
-/// Runs that an upstream takes in a second when all its slots are busy; 0 when it has
-/// run nothing.
+/// Runs per second that an upstream completes with all slots busy; 0 if it has not
+/// completed a run yet.
 struct gate_capacity
 {
     double full = 0;
-    double beside_queue = 0;  ///< less what is needed to work off soon what waits
+    double beside_queue = 0;  ///< full, reduced by the rate needed to drain the queue
 
     bool operator==(const gate_capacity &) const = default;
 };
--- a/gullstall/src/mesh/repeat_budget.cpp
+++ b/gullstall/src/mesh/repeat_budget.cpp
@@ -7,25 +7,25 @@
 
 namespace {
 
-/// Part of the allowed repeats that is given out. As much again may be saved up
-/// from the window before.
-constexpr double own_part = 0.5;
+/// Fraction of the allowed retries that is handed out as tokens. As many tokens again may
+/// have been saved in the previous window.
+constexpr double token_fraction = 0.5;
 
-/// Repeats that can be saved up in any case: a node with few requests could never
-/// repeat one otherwise.
-constexpr double least_saved = 1;
+/// Minimum size of the bucket in tokens: a node with few requests could otherwise never
+/// pay for a retry.
+constexpr double min_bucket_size = 1;
 
 void earn(repeat_budget &it, double repeats)
 {
     it.earned += repeats;
-    it.tokens = std::min(it.tokens + repeats, std::max(it.earned, least_saved));
+    it.tokens = std::min(it.tokens + repeats, std::max(it.earned, min_bucket_size));
 }
 
 }  // namespace
 
 void earn_repeat(repeat_budget &it, double ratio)
 {
-    earn(it, own_part * ratio);
+    earn(it, token_fraction * ratio);
 }
 
 void accrue_slack(repeat_budget &it, const repeat_slack &slack, time_point now)
@@ -34,8 +34,8 @@
                    static_cast<double>(slack.window.count());
     it.accrued_at = now;
     it.earned *= std::exp(-windows);
-    double part = std::min(windows, 1.0);
-    earn(it, own_part * slack.repeats * part / static_cast<double>(slack.nodes));
+    double window_fraction = std::min(windows, 1.0);
+    earn(it, token_fraction * slack.repeats * window_fraction / static_cast<double>(slack.nodes));
 }
 
 bool can_repeat(const repeat_budget &it, double runs)
--- a/gullstall/src/mesh/repeat_budget.hpp
+++ b/gullstall/src/mesh/repeat_budget.hpp
@@ -7,38 +7,38 @@
 
 namespace gullstall::mesh {
 
-/// Repeats that this node may cause at one service. The bound on repeats holds
-/// for the sum over all nodes, and each knows only the requests that it takes
-/// itself, so each keeps to a share of these. The bound is over a window: what
-/// was earned before it must not be spent now, or all nodes together repeat far
-/// more at the moment when much fails after a calm time.
+/// Token bucket for the retries that this node may cause at one service. The limit on
+/// retries applies to the sum over all nodes. Each node sees only the requests that it
+/// receives itself, so each one limits its retries to a share of these. The limit applies
+/// to a time window: tokens earned before the window expire, since otherwise all nodes
+/// together would exceed the limit when many calls fail after a quiet period.
 struct repeat_budget
 {
     double tokens = 0;
-    double earned = 0;  ///< in about the last window
+    double earned = 0;  ///< tokens earned in about the last window
     time_point accrued_at{};
 };
 
-/// Notes a caller's request to the service, which earns a part of a repeat.
-/// \param ratio repeats that are allowed for a request
+/// Adds the tokens for one caller's request to the service.
+/// \param ratio allowed retries per request
 void earn_repeat(repeat_budget &it, double ratio);
 
-/// What the bound allows beyond a share of the requests.
+/// Retries that are allowed in addition to the share of the requests.
 struct repeat_slack
 {
-    std::uint32_t repeats = 0;  ///< in a window, over all nodes
+    std::uint32_t repeats = 0;  ///< per window, over all nodes
     duration window = seconds(10);
-    std::size_t nodes = 1;  ///< that share it
+    std::size_t nodes = 1;  ///< nodes that share the slack
 };
 
-/// Gives out this node's part of the slack for the time since the last call, and
-/// lets go what was earned before the window.
+/// Adds this node's part of the slack for the time since the last call, and expires
+/// tokens earned before the window.
 void accrue_slack(repeat_budget &it, const repeat_slack &slack, time_point now);
 
-/// \returns whether \a runs repeats can be paid
+/// \returns whether the tokens suffice for \a runs retries
 bool can_repeat(const repeat_budget &it, double runs);
 
-/// Pays for \a runs repeats.
+/// Takes the tokens for \a runs retries.
 void spend_repeat(repeat_budget &it, double runs);
 
 }  // namespace gullstall::mesh
--- a/gullstall/src/mesh/return_time.cpp
+++ b/gullstall/src/mesh/return_time.cpp
@@ -8,34 +8,34 @@
 
 namespace {
 
-/// Part of the time left within which a caller comes back while there is too much load.
-constexpr double soon_part = 0.1;
+/// Fraction of the remaining time within which a caller retries during an overload.
+constexpr double overload_delay_fraction = 0.1;
 
-/// Part of the time left within which a caller comes back at all: later it would give
-/// up instead.
-constexpr double latest_part = 0.3;
+/// Fraction of the remaining time within which a caller must retry in any case: after a
+/// later retry too little time would be left, and the caller would give up instead.
+constexpr double max_delay_fraction = 0.3;
 
-/// Part of the latest time at which the earliest come back.
-constexpr double earliest_part = 0.25;
+/// Lower bound of the delay, as a fraction of its upper bound.
+constexpr double min_delay_fraction = 0.25;
 
-duration part_of(duration it, double part)
+duration scaled(duration it, double fraction)
 {
-    return duration(static_cast<std::int64_t>(part * static_cast<double>(it.count())));
+    return duration(static_cast<std::int64_t>(fraction * static_cast<double>(it.count())));
 }
 
 }  // namespace
 
 duration latest_return_time(const refusal &it)
 {
-    duration soon = part_of(it.left, soon_part);
-    duration latest = part_of(it.left, latest_part);
-    return std::max(duration{}, std::min(latest, std::max(soon, it.until_better)));
+    duration overload_delay = scaled(it.left, overload_delay_fraction);
+    duration max_delay = scaled(it.left, max_delay_fraction);
+    return std::max(duration{}, std::min(max_delay, std::max(overload_delay, it.until_better)));
 }
 
 duration draw_return_time(const refusal &it, random_source &random)
 {
-    double part = earliest_part + (1 - earliest_part) * draw_fraction(random);
-    return part_of(latest_return_time(it), part);
+    double fraction = min_delay_fraction + (1 - min_delay_fraction) * draw_fraction(random);
+    return scaled(latest_return_time(it), fraction);
 }
 
 }  // namespace gullstall::mesh
--- a/gullstall/src/mesh/return_time.hpp
+++ b/gullstall/src/mesh/return_time.hpp
@@ -5,27 +5,27 @@
 
 namespace gullstall::mesh {
 
-/// What decides when a refused caller should come back.
+/// Input for the retry time that is sent with a refusal.
 struct refusal
 {
-    duration left{};  ///< time that the caller still has
-    /// Time until a return may find what is missing now: until every upstream has had its
-    /// turn to announce itself to a node that has just started, or as late as possible
-    /// where upstreams turn calls away. 0 or less: any moment is as good.
+    duration left{};  ///< time until the caller's deadline
+    /// Expected time until the cause of the refusal is gone: on a node that has just
+    /// started, until every upstream has had time to announce itself; where upstreams shed
+    /// calls, as late as possible. 0 or less if waiting longer does not help.
     duration until_better{};
 
     bool operator==(const refusal &) const = default;
 };
 
-/// \returns when a refused caller should come back, spread so that callers refused
-/// together don't return together. Load: an overload that lasts, where each moment is
-/// as good as the next, and a caller that comes back soon is still answered in time;
-/// the first second after a loss of power, where nothing can be served before the
-/// upstreams are heard; and upstreams that turn calls away for seconds, where a soon
-/// return meets the same.
+/// \returns the delay after which a refused caller should retry, with jitter so that
+/// callers refused together do not retry together. During a lasting overload any time is
+/// equally good, and an early retry can still be answered in time. After a power failure
+/// no request can be served until the upstreams have announced themselves, and where
+/// upstreams shed calls for seconds an early retry is refused again; both delay the
+/// retry.
 duration draw_return_time(const refusal &it, random_source &random);
 
-/// \returns the latest time of all that draw_return_time may give
+/// \returns the upper bound of the delays that draw_return_time returns
 duration latest_return_time(const refusal &it);
 
 }  // namespace gullstall::mesh
--- a/gullstall/src/mesh/run_gate.cpp
+++ b/gullstall/src/mesh/run_gate.cpp
@@ -6,32 +6,33 @@
 
 namespace {
 
-/// Part of its slots beyond which an upstream counts as very nearly full.
-constexpr double usable_part = 0.95;
+/// Fraction of its slots above which an upstream counts as almost full.
+constexpr double usable_fraction = 0.95;
 
-/// Part of the time left that a call may wait for a slot. The rest is for its
-/// run and for the calls that the run makes. Turning a call of a run away loses
-/// the whole request and the work spent on it, so these wait longer.
-constexpr double wait_part = 0.4;
-constexpr double inner_wait_part = 0.8;
+/// Fraction of the remaining time that a call may wait for a slot. The rest is for its
+/// run and for the nested calls. Refusing a nested call fails the whole request and
+/// wastes the work already done for it, so nested calls may wait longer.
+constexpr double max_wait_fraction = 0.4;
+constexpr double max_nested_wait_fraction = 0.8;
 
-/// Longest queue, in slots, behind which a caller's request may wait: as long as this
-/// many runs. Calls of runs are bound by their time alone: turned away for a queue of a
-/// tenth of a second, a call ends a request that had seconds left.
-constexpr std::size_t waiting_per_slot = 4;
+/// Maximum queue length, in calls per slot, behind which a caller's request may wait: it
+/// then waits about this many run times. Nested calls are limited by their deadline alone:
+/// with a length limit, a queue of a tenth of a second failed requests that had seconds
+/// left.
+constexpr std::size_t max_waiting_per_slot = 4;
 
 /// Weight of one run in the moving average of run times.
 constexpr double run_weight = 0.05;
 
-/// Weight of one call in the moving share of those turned away: about the last
-/// fifty count, a tenth of a second of a busy upstream.
+/// Weight of one call in the moving average of the shed share. It covers about the last
+/// fifty calls, a tenth of a second of a busy upstream.
 constexpr double shed_weight = 0.02;
 
-/// By class, and in a class by the moment at which the caller's answer gets late:
-/// a request that needs one short run of a busy service is not held behind the many
-/// calls of requests that have a second left. What is late already waits behind
-/// what can still be in time.
-gate_place queue_place(const gate_request &it, std::uint64_t arrival)
+/// Orders the queue by priority class, then by the time at which the latency objective
+/// expires (earliest deadline first), so that a request that needs one short run does not
+/// wait behind the many calls of requests that have a second left. Calls that are already
+/// late go behind those of their class that can still be in time.
+gate_place queue_key_of(const gate_request &it, std::uint64_t arrival)
 {
     return gate_place{2U * it.priority + (it.late ? 1 : 0), it.due, arrival};
 }
@@ -40,7 +41,7 @@
 
 std::uint32_t usable_slots(std::uint32_t slots)
 {
-    auto usable = static_cast<std::uint32_t>(slots * usable_part);
+    auto usable = static_cast<std::uint32_t>(slots * usable_fraction);
     return std::max(usable, std::min(slots, 1U));
 }
 
@@ -50,8 +51,8 @@
         return duration{};
     }
     double free = it.slots > it.running ? it.slots - it.running : 0;
-    double beyond = std::max(0.0, static_cast<double>(ahead) + 1 - free);
-    return duration(static_cast<std::int64_t>(beyond * it.run_us / it.slots));
+    double ends_needed = std::max(0.0, static_cast<double>(ahead) + 1 - free);
+    return duration(static_cast<std::int64_t>(ends_needed * it.run_us / it.slots));
 }
 
 gate_verdict enter_gate(run_gate &it, const gate_request &request)
@@ -60,18 +61,18 @@
         ++it.running;
         return gate_verdict::start;
     }
-    gate_place key = queue_place(request, it.arrivals++);
-    auto ahead =
-        static_cast<std::size_t>(std::distance(it.waiting.begin(), it.waiting.lower_bound(key)));
+    gate_place position = queue_key_of(request, it.arrivals++);
+    auto ahead = static_cast<std::size_t>(
+        std::distance(it.waiting.begin(), it.waiting.lower_bound(position)));
     duration wait = expected_wait(it, ahead);
-    double part = request.inner ? inner_wait_part : wait_part;
-    bool is_late =
-        static_cast<double>(wait.count()) > part * static_cast<double>(request.left.count());
-    bool is_long = request.bound_by_length && ahead >= it.slots * waiting_per_slot;
-    if (is_late || is_long) {
+    double fraction = request.inner ? max_nested_wait_fraction : max_wait_fraction;
+    bool exceeds_wait =
+        static_cast<double>(wait.count()) > fraction * static_cast<double>(request.left.count());
+    bool exceeds_length = request.bound_by_length && ahead >= it.slots * max_waiting_per_slot;
+    if (exceeds_wait || exceeds_length) {
         return gate_verdict::full;
     }
-    it.waiting.emplace(key, request.run);
+    it.waiting.emplace(position, request.run);
     return gate_verdict::wait;
 }
 
--- a/gullstall/src/mesh/service_totals.cpp
+++ b/gullstall/src/mesh/service_totals.cpp
@@ -6,34 +6,34 @@
 
 namespace {
 
-/// Sums over the upstreams of a service.
+/// Sums over the usable upstreams of a service.
 struct service_sums
 {
-    double taking = 0;  ///< slots, less the share that turns calls away
-    double shed = 0;    ///< share turned away, weighed by these slots
+    double accepting_slots = 0;  ///< slots, less the shed share
+    double shed = 0;             ///< shed share, weighted by these slots
     double capacity = 0;
-    double full = 0;       ///< capacity when nothing waits
-    bool is_known = true;  ///< all upstreams have told their capacity
+    double full = 0;                ///< capacity without a queue
+    bool is_capacity_known = true;  ///< all upstreams have reported their capacity
     weighted_demand demand;
 };
 
-void add_node(service_sums &it, const mesh_wire::node_status_message &status)
+void add_status(service_sums &it, const mesh_wire::node_status_message &status)
 {
     constexpr double milli = 1000;
     double shed = std::min(1.0, status.shed_milli / milli);
-    double takes = status.slots * (1 - shed);
-    it.taking += takes;
-    it.shed += takes * shed;
+    double accepting = status.slots * (1 - shed);
+    it.accepting_slots += accepting;
+    it.shed += accepting * shed;
     it.capacity += status.capacity_per_s;
     it.full += status.full_per_s;
-    it.is_known = it.is_known && status.capacity_per_s > 0;
+    it.is_capacity_known = it.is_capacity_known && status.capacity_per_s > 0;
     for (const mesh_wire::demand_part &part : status.demand) {
         it.demand[part.weight_milli() / milli] += part.runs_per_s();
     }
 }
 
-/// \returns the share of the demand of the most urgent class that fits when nothing
-/// else is let in
+/// \returns the share of the most urgent class's demand that fits the capacity if no other
+/// class is admitted
 double urgent_share(const service_sums &it)
 {
     double urgent = 0;
@@ -61,15 +61,15 @@
     std::map<std::string, service_sums> sums;
     for (const auto &[name, view] : it.nodes) {
         if (is_usable(view, view.status.service, now)) {
-            add_node(sums[view.status.service], view.status);
+            add_status(sums[view.status.service], view.status);
         }
     }
     std::map<std::string, service_state> out;
     for (const auto &[service, sum] : sums) {
         service_state &state = out[service];
-        state.level = sum.is_known ? level_for(sum.demand, sum.capacity) : open_level;
+        state.level = sum.is_capacity_known ? level_for(sum.demand, sum.capacity) : open_level;
         state.urgent_share = urgent_share(sum);
-        state.shed = sum.taking > 0 ? sum.shed / sum.taking : 1;
+        state.shed = sum.accepting_slots > 0 ? sum.shed / sum.accepting_slots : 1;
     }
     return out;
 }
--- a/gullstall/src/mesh/service_totals.hpp
+++ b/gullstall/src/mesh/service_totals.hpp
@@ -10,17 +10,17 @@
 
 namespace gullstall::mesh {
 
-/// \returns the zones that have an upstream that takes work, by service
+/// \returns the zones that have a usable upstream, by service
 service_zones zones_of_services(const directory &it, time_point now);
 
-/// \returns the state of each service over its upstreams that take work: the level
-/// at which all demand together takes all capacity, and the share turned away,
-/// weighed by the slots that still take calls, since calls leave an upstream that
-/// turns many away
+/// \returns the state of each service over its usable upstreams: the admission level at
+/// which the total demand uses the total capacity, and the mean shed share. The mean is
+/// weighted by the slots that still accept calls, because load balancing moves calls away
+/// from an upstream that sheds many.
 std::map<std::string, service_state> states_of_services(const directory &it, time_point now);
 
-/// \returns the share of the slots of \a service that are in use or waited for,
-/// over all upstreams that take work; 0 when there are none
+/// \returns the calls running and waiting on the usable upstreams of \a service, as a
+/// share of their slots; 0 if there is no usable upstream
 double service_load(const directory &it, const std::string &service, time_point now);
 
 }  // namespace gullstall::mesh
--- a/gullstall/src/mesh/waiting_calls.cpp
+++ b/gullstall/src/mesh/waiting_calls.cpp
@@ -8,20 +8,21 @@
 
 namespace {
 
-/// Time in which the process of a node that is replaced runs again, without the wait for
-/// its upstream's heartbeat.
-constexpr duration restart_time = milliseconds(700);
+/// Time to restart the process of a node that is being replaced, excluding the wait for
+/// the heartbeat of its upstream.
+constexpr duration process_restart_time = milliseconds(700);
 
-/// Part of its time left for which a call waits for an upstream: the rest is for its run.
-constexpr int wait_part = 2;
+/// Divisor of the remaining time that gives the longest wait for an upstream: the rest is
+/// for the run.
+constexpr int wait_time_divisor = 2;
 
-bool is_absence(reason why)
+bool is_missing_upstream(reason why)
 {
     return why == reason::no_upstream || why == reason::leaving || why == reason::stopping ||
            why == reason::unreachable;
 }
 
-void log_wait(mesh_turn &t, const entry_call &call, duration longest)
+void log_wait(mesh_turn &t, const entry_call &call, duration max_wait)
 {
     t.out.emplace_back(write_line{write_line::severity::info,
                                   "entry",
@@ -29,22 +30,22 @@
                                   {{"request", call.call.request_id},
                                    {"service", call.call.service},
                                    {"reason", mesh_wire::EnumNamereason(call.last_reason)},
-                                   {"for_ms", std::to_string(to_ms(longest))}}});
+                                   {"for_ms", std::to_string(to_ms(max_wait))}}});
 }
 
 }  // namespace
 
 bool wait_for_upstream(mesh_turn &t, entry_call &call)
 {
-    if (!t.n.on.waiting_calls || !call.call.inner || !is_absence(call.last_reason)) {
+    if (!t.n.on.waiting_calls || !call.call.inner || !is_missing_upstream(call.last_reason)) {
         return false;
     }
     if (!call.waits_until) {
-        duration replacement =
-            milliseconds(t.n.settings.upstream.heartbeat_interval_ms) + restart_time;
-        duration longest = std::min(replacement, (call.expires - t.now) / wait_part);
-        call.waits_until = t.now + longest;
-        log_wait(t, call, longest);
+        duration replacement_time =
+            milliseconds(t.n.settings.upstream.heartbeat_interval_ms) + process_restart_time;
+        duration max_wait = std::min(replacement_time, (call.expires - t.now) / wait_time_divisor);
+        call.waits_until = t.now + max_wait;
+        log_wait(t, call, max_wait);
     }
     if (t.now >= *call.waits_until) {
         return false;
--- a/gullstall/src/mesh/zone_plan.cpp
+++ b/gullstall/src/mesh/zone_plan.cpp
@@ -6,10 +6,10 @@
 
 namespace {
 
-/// Calls below calls that are followed; a call graph with a cycle ends here.
-constexpr int max_depth = 24;
+/// Maximum depth of nested calls that is followed; also ends cycles in the call graph.
+constexpr int max_call_depth = 24;
 
-struct planning
+struct plan_input
 {
     const traffic_policy &policy;
     const std::map<std::string, calls_per_run> &calls;
@@ -17,33 +17,33 @@
     zone_plan &out;
 };
 
-double cost_below(planning &p, const std::string &route, const std::string &zone, int depth);
+double cost_below_run(plan_input &p, const std::string &route, const std::string &zone, int depth);
 
-/// \returns the crossings of one call of \a route from \a zone and of all below
-/// it, where each call goes to the zone that is best for it
-double cost_of_call(planning &p, const std::string &route, const std::string &zone, int depth)
+/// \returns the cross-zone calls of one call of \a route from \a zone and of all calls
+/// below it, if each goes to the zone with the lowest cost
+double cost_of_call(plan_input &p, const std::string &route, const std::string &zone, int depth)
 {
     const traffic_route *known = route_named(p.policy, route);
     if (known == nullptr || known->services.empty()) {
         return 0;
     }
-    // The parts of a split stand in the same zones nearly always: the first decides.
+    // The services of a split nearly always run in the same zones: use those of the first.
     auto zones = p.present.find(known->services.front().service);
     if (zones == p.present.end()) {
         return 0;
     }
     double best = -1;
     for (const std::string &each : zones->second) {
-        double cost = (each == zone ? 0 : 1) + cost_below(p, route, each, depth);
+        double cost = (each == zone ? 0 : 1) + cost_below_run(p, route, each, depth);
         best = best < 0 ? cost : std::min(best, cost);
     }
     return std::max(best, 0.0);
 }
 
-double cost_below(planning &p, const std::string &route, const std::string &zone, int depth)
+double cost_below_run(plan_input &p, const std::string &route, const std::string &zone, int depth)
 {
     auto calls = p.calls.find(route);
-    if (calls == p.calls.end() || depth > max_depth) {
+    if (calls == p.calls.end() || depth > max_call_depth) {
         return 0;
     }
     auto &known = p.out.crossings[route];
@@ -65,14 +65,14 @@
                      const service_zones &present)
 {
     std::set<std::string> zones;
-    for (const auto &[service, its] : present) {
-        zones.insert(its.begin(), its.end());
+    for (const auto &[service, service_zone_set] : present) {
+        zones.insert(service_zone_set.begin(), service_zone_set.end());
     }
     zone_plan out;
-    planning p{policy, calls, present, out};
+    plan_input p{policy, calls, present, out};
     for (const auto &[route, below] : calls) {
         for (const std::string &zone : zones) {
-            cost_below(p, route, zone, 0);
+            cost_below_run(p, route, zone, 0);
         }
     }
     return out;
--- a/gullstall/src/mesh/zone_plan.hpp
+++ b/gullstall/src/mesh/zone_plan.hpp
@@ -13,25 +13,26 @@
 /// Availability zones that have an upstream of a service, by service.
 using service_zones = std::map<std::string, std::set<std::string>>;
 
-/// How often the calls of a run must leave the zone that it runs in. It answers
-/// zones that lack a service: a run beside which the next service is missing
-/// makes each of its calls over the link between zones, where one crossing
-/// further up would have done.
+/// Expected number of cross-zone calls below a run, depending on the zone in which it
+/// runs. Used where zones lack a service: a run in a zone without the next service makes
+/// each of its calls across zones, where one cross-zone call further up the chain would
+/// have been enough.
 struct zone_plan
 {
-    /// Expected crossings of all calls below a run, by the run's route and zone.
+    /// Expected cross-zone calls of all calls below a run, by the run's route and zone.
     std::map<std::string, std::map<std::string, double>> crossings;
 
     bool operator==(const zone_plan &) const = default;
 };
 
-/// \param calls of a run, by route, as learned
+/// \param calls learned calls per run, by route
+/// \param present zones in which each service has an upstream
 zone_plan plan_zones(const traffic_policy &policy,
                      const std::map<std::string, calls_per_run> &calls,
                      const service_zones &present);
 
-/// \returns the crossings below a run of \a route in \a zone; 0 when nothing is
-/// known of them
+/// \returns the expected cross-zone calls below a run of \a route in \a zone; 0 if they
+/// are unknown
 double crossings_below(const zone_plan &it, const std::string &route, const std::string &zone);
 
 }  // namespace gullstall::mesh
