--- a/test/support/mesh_load.hpp
+++ b/test/support/mesh_load.hpp
@@ -9,22 +9,22 @@
 
 namespace gullstall::test {
 
-/// Requests of one kind, whose path is "/KIND/x" and whose ids begin with "KIND-".
+/// Requests of one kind, with path "/KIND/x" and ids that begin with "KIND-".
 struct load_kind
 {
     std::string name;
     double per_s = 0;
-    duration left = seconds(4);  ///< the caller's time
+    duration left = seconds(4);  ///< time until the caller's deadline
 };
 
-/// Callers that ask at random moments, at each of some nodes in turn.
+/// Load generator state. Requests go to the entry nodes in turn.
 struct random_load
 {
     std::vector<std::string> entries;
     int asked = 0;
 };
 
-/// Has the requests of \a kind for the next \a length come at random moments.
+/// Schedules the requests of \a kind at random times within the next \a length.
 inline void ask_at_random(mesh_world &w, random_load &load, const load_kind &kind, duration length)
 {
     auto n = static_cast<int>(kind.per_s * std::chrono::duration<double>(length).count());
--- a/test/support/mesh_world.hpp
+++ b/test/support/mesh_world.hpp
@@ -14,7 +14,7 @@
 
 namespace gullstall::test {
 
-/// Calls that a run makes one after the other before it answers.
+/// Nested calls that a run makes sequentially before it answers.
 struct inner_calls
 {
     std::string host;
@@ -22,17 +22,17 @@
     int times = 0;
 };
 
-/// How an upstream behaves.
+/// Behaviour of a simulated upstream.
 struct upstream_model
 {
     std::string service;
     std::uint32_t slots = 10;
     duration run_time = milliseconds(10);
-    double shed = 0;                             ///< share of the calls that it turns away
+    double shed = 0;                             ///< share of the calls that it sheds
     std::map<std::string, inner_calls> calls{};  ///< by the path of the run
 };
 
-/// What a caller got.
+/// Outcome of a caller's request.
 struct caller_result
 {
     std::uint16_t status = 0;
@@ -42,7 +42,7 @@
     time_point answered_at{};
 };
 
-/// A run as the upstream has seen it.
+/// A run as received by the upstream.
 struct upstream_run
 {
     std::string node;
@@ -52,8 +52,8 @@
     time_point at{};
 };
 
-/// Nodes in virtual time, with links that can be cut, upstreams that run what
-/// they are handed, and callers.
+/// Simulation of nodes, upstreams and callers in virtual time, connected by links that can
+/// be partitioned.
 class mesh_world
 {
 public:
@@ -67,33 +67,33 @@
     std::map<std::string, caller_result> results;     ///< by request id
     std::vector<upstream_run> runs;
     std::vector<mesh::write_line> lines;
-    std::map<std::string, mesh::calls_per_run> kept;  ///< chains, as the store has them
-    /// Frames between these two wait until the cut is healed.
+    std::map<std::string, mesh::calls_per_run> kept;  ///< calls per run in the store, by route
+    /// Pairs (from, to) whose frames are held back until the pair is removed.
     std::set<std::pair<std::string, std::string>> cuts;
-    std::set<std::string> frozen;  ///< nodes that do nothing for now
+    std::set<std::string> frozen;  ///< nodes whose process is paused
     traffic_policy policy;
 
-    void at(time_point when, std::function<void()> what)
+    void at(time_point when, std::function<void()> action)
     {
-        queue_.push(entry{when, ++last_, std::move(what)});
+        queue_.push(event{when, ++last_id_, std::move(action)});
     }
-    void after(duration d, std::function<void()> what)
+    void after(duration d, std::function<void()> action)
     {
-        at(now + d, std::move(what));
+        at(now + d, std::move(action));
     }
     void run_for(duration d)
     {
         time_point end = now + d;
         while (!queue_.empty() && queue_.top().when <= end) {
-            entry next = queue_.top();
+            event next = queue_.top();
             queue_.pop();
             now = std::max(now, next.when);
-            next.what();
+            next.action();
         }
         now = end;
     }
 
-    /// Starts a node whose upstream says at once that it is ready.
+    /// Starts a node whose upstream announces itself as ready at once.
     void add(const std::string &name, const std::string &zone, const upstream_model &model)
     {
         upstreams[name] = model;
@@ -101,7 +101,7 @@
         beat(name);
     }
 
-    /// Starts, or starts again, the process of a node.
+    /// Starts or restarts the process of a node.
     void start(const std::string &name, const std::string &zone)
     {
         mesh::mesh_settings settings;
@@ -115,19 +115,20 @@
         step(name, [&](mesh::mesh_turn &t) { take_policy(t, policy, "text", "test"); });
         for (auto &[other, n] : nodes) {
             mesh::node_address address = nodes.at(name).nodes.nodes.at(name).address;
-            mesh::node_address its = n.nodes.nodes.at(other).address;
+            mesh::node_address other_address = n.nodes.nodes.at(other).address;
             step(other, [&](mesh::mesh_turn &t) { take_address(t, address); });
-            step(name, [&](mesh::mesh_turn &t) { take_address(t, its); });
+            step(name, [&](mesh::mesh_turn &t) { take_address(t, other_address); });
         }
         tick(name, incarnation);
     }
 
-    /// Sends a heartbeat of the node's upstream.
+    /// Delivers a heartbeat of the node's upstream.
     mesh::heartbeat_verdict beat(const std::string &name,
                                  mesh_wire::upstream_state state = mesh_wire::upstream_state::ready)
     {
-        mesh::upstream_heartbeat it{"u-" + name, upstreams[name].service, "",        1, ++beats_,
-                                    state,       upstreams[name].slots,   duration{}};
+        mesh::upstream_heartbeat it{
+            "u-" + name, upstreams[name].service, "",        1, ++heartbeats_,
+            state,       upstreams[name].slots,   duration{}};
         mesh::heartbeat_verdict verdict{};
         step(name, [&](mesh::mesh_turn &t) { verdict = on_heartbeat(t, it); });
         return verdict;
@@ -137,7 +138,7 @@
     void request(const std::string &node, const std::string &id, const std::string &path,
                  duration left)
     {
-        ask(node, id, path, left, [this, id](const mesh::caller_answer &answer) {
+        submit(node, id, path, left, [this, id](const mesh::caller_answer &answer) {
             caller_result &result = results[id];
             result.status = answer.status;
             result.why = answer.why;
@@ -147,14 +148,14 @@
         results[id].asked_at = results[id].asked_at == time_point{} ? now : results[id].asked_at;
     }
 
-    /// The caller of a request closes its connection.
+    /// Closes the connection of a request's caller.
     void leave(const std::string &node, const std::string &id)
     {
         call_ref call = calls_.at(id);
         step(node, [&](mesh::mesh_turn &t) { abandon_request(t, call); });
     }
 
-    /// Breaks the connections between two nodes, one for each direction.
+    /// Closes the links between two nodes in both directions.
     void break_links(const std::string &a, const std::string &b)
     {
         for (auto [from, to] : {std::pair(a, b), std::pair(b, a)}) {
@@ -162,17 +163,17 @@
         }
     }
 
-    void step(const std::string &name, const std::function<void(mesh::mesh_turn &)> &what)
+    void step(const std::string &name, const std::function<void(mesh::mesh_turn &)> &action)
     {
         if (frozen.count(name) > 0) {
-            after(milliseconds(10), [this, name, what] { step(name, what); });
+            after(milliseconds(10), [this, name, action] { step(name, action); });
             return;
         }
         mesh::mesh_actions out;
         mesh::mesh_turn turn{nodes.at(name), now, out};
-        what(turn);
+        action(turn);
         for (mesh::mesh_action &it : out) {
-            std::visit([&](auto &action) { carry_out(name, action); }, it);
+            std::visit([&](auto &output) { perform(name, output); }, it);
         }
         if (std::optional<time_point> next = next_expiry(nodes.at(name))) {
             at(std::max(now, *next), [this, name] {
@@ -199,12 +200,12 @@
     }
 
 private:
-    struct entry
+    struct event
     {
         time_point when;
         std::uint64_t order;
-        std::function<void()> what;
-        bool operator<(const entry &other) const
+        std::function<void()> action;
+        bool operator<(const event &other) const
         {
             return std::pair(when, order) > std::pair(other.when, other.order);
         }
@@ -217,12 +218,12 @@
 
     using answer_function = std::function<void(const mesh::caller_answer &)>;
 
-    void ask(const std::string &node, const std::string &id, const std::string &path, duration left,
-             answer_function answered)
+    void submit(const std::string &node, const std::string &id, const std::string &path,
+                duration left, answer_function answered)
     {
-        call_ref call{++last_};
+        call_ref call{++last_id_};
         calls_[id] = call;
-        waiting_[call] = std::move(answered);
+        answer_handlers_[call] = std::move(answered);
         mesh::caller_request it;
         it.request_id = id;
         it.host = "h";
@@ -235,28 +236,29 @@
     void tick(const std::string &name, std::uint64_t incarnation)
     {
         if (nodes.at(name).incarnation != incarnation) {
-            return;  // an earlier process
+            return;  // the process was restarted meanwhile
         }
         step(name, [](mesh::mesh_turn &t) { members_tick(t); });
         after(mesh::mesh_tick_interval, [this, name, incarnation] { tick(name, incarnation); });
     }
 
-    void deliver(const std::string &from, const std::string &to, const std::function<void()> &what)
+    void deliver(const std::string &from, const std::string &to,
+                 const std::function<void()> &action)
     {
-        after(link_delay, [this, from, to, what] {
+        after(link_delay, [this, from, to, action] {
             if (cuts.count({from, to}) > 0) {
-                after(milliseconds(10), [this, from, to, what] { deliver(from, to, what); });
+                after(milliseconds(10), [this, from, to, action] { deliver(from, to, action); });
                 return;
             }
-            what();
+            action();
         });
     }
 
-    void carry_out(const std::string &name, mesh::connect_node &it)
+    void perform(const std::string &name, mesh::connect_node &it)
     {
         const std::string &to = it.address.node;
         drop_link(name, to);
-        mesh::link_ref ref{++last_};
+        mesh::link_ref ref{++last_id_};
         links_[ref] = link{name, to};
         deliver(name, to, [this, ref, name, to] {
             if (links_.count(ref) == 0) {
@@ -267,7 +269,7 @@
         });
     }
 
-    void carry_out(const std::string &name, mesh::send_to_node &it)
+    void perform(const std::string &name, mesh::send_to_node &it)
     {
         for (const auto &[ref, each] : links_) {
             if (each.from == name && each.to == it.node) {
@@ -277,7 +279,7 @@
         }
     }
 
-    void carry_out(const std::string &name, mesh::send_to_link &it)
+    void perform(const std::string &name, mesh::send_to_link &it)
     {
         auto found = links_.find(it.link);
         if (found != links_.end()) {
@@ -286,18 +288,19 @@
     }
 
     void send(const std::string &from, const std::string &to, mesh::link_ref ref,
-              mesh_wire::frame_message &&frame, bool to_server)
+              mesh_wire::frame_message &&frame, bool is_to_server)
     {
-        auto held = std::make_shared<mesh_wire::frame_message>(std::move(frame));
-        deliver(from, to, [this, from, to, ref, held, to_server] {
+        auto shared = std::make_shared<mesh_wire::frame_message>(std::move(frame));
+        deliver(from, to, [this, from, to, ref, shared, is_to_server] {
             if (links_.count(ref) > 0) {
-                to_server ? take_at_server(to, ref, *held) : take_at_dialer(from, to, *held);
+                is_to_server ? receive_at_server(to, ref, *shared)
+                             : receive_at_dialer(from, to, *shared);
             }
         });
     }
 
-    void take_at_server(const std::string &node, mesh::link_ref ref,
-                        mesh_wire::frame_message &frame)
+    void receive_at_server(const std::string &node, mesh::link_ref ref,
+                           mesh_wire::frame_message &frame)
     {
         step(node, [&](mesh::mesh_turn &t) {
             if (mesh_wire::call_message *call = frame.payload.Ascall()) {
@@ -312,8 +315,8 @@
         });
     }
 
-    void take_at_dialer(const std::string &from, const std::string &node,
-                        mesh_wire::frame_message &frame)
+    void receive_at_dialer(const std::string &from, const std::string &node,
+                           mesh_wire::frame_message &frame)
     {
         step(node, [&](mesh::mesh_turn &t) {
             if (mesh_wire::reply_message *reply = frame.payload.Asreply()) {
@@ -352,7 +355,7 @@
         }
     }
 
-    void carry_out(const std::string &name, mesh::start_run &it)
+    void perform(const std::string &name, mesh::start_run &it)
     {
         runs.push_back(upstream_run{name, it.call.request_id, it.upstream, it.left, now});
         const upstream_model &model = upstreams.at(name);
@@ -371,13 +374,13 @@
         });
     }
 
-    /// Makes the calls of a run, one after the other; the run fails with the
-    /// first that fails.
+    /// Makes the nested calls of a run sequentially; the run fails with the first call
+    /// that fails.
     void make_calls(const std::string &name, run_ref run, const std::string &id, inner_calls rest,
                     time_point expires)
     {
         if (open_runs_.count({name, run}) == 0) {
-            return;  // broken off
+            return;  // cancelled
         }
         if (rest.times == 0) {
             open_runs_.erase({name, run});
@@ -385,59 +388,59 @@
             return;
         }
         --rest.times;
-        std::string child = id + "." + std::to_string(++last_);
-        ask(name, child, rest.path, expires - now,
-            [this, name, run, id, rest, expires](const mesh::caller_answer &answer) {
-                if (answer.status == 200) {
-                    make_calls(name, run, id, rest, expires);
-                    return;
-                }
-                open_runs_.erase({name, run});
-                after(duration(0),
-                      [this, name, run] { end_run(name, run, mesh::run_end::answered, 500); });
-            });
+        std::string child = id + "." + std::to_string(++last_id_);
+        submit(name, child, rest.path, expires - now,
+               [this, name, run, id, rest, expires](const mesh::caller_answer &answer) {
+                   if (answer.status == 200) {
+                       make_calls(name, run, id, rest, expires);
+                       return;
+                   }
+                   open_runs_.erase({name, run});
+                   after(duration(0),
+                         [this, name, run] { end_run(name, run, mesh::run_end::answered, 500); });
+               });
     }
 
-    void carry_out(const std::string &name, mesh::cancel_run &it)
+    void perform(const std::string &name, mesh::cancel_run &it)
     {
         open_runs_.erase({name, it.run});
     }
 
-    void carry_out(const std::string &, mesh::answer_caller &it)
+    void perform(const std::string &, mesh::answer_caller &it)
     {
-        auto found = waiting_.find(it.call);
-        if (found == waiting_.end()) {
+        auto found = answer_handlers_.find(it.call);
+        if (found == answer_handlers_.end()) {
             return;
         }
         answer_function answered = std::move(found->second);
-        waiting_.erase(found);
-        auto held = std::make_shared<mesh::caller_answer>(std::move(it.answer));
-        after(duration(0), [answered, held] { answered(*held); });
+        answer_handlers_.erase(found);
+        auto shared = std::make_shared<mesh::caller_answer>(std::move(it.answer));
+        after(duration(0), [answered, shared] { answered(*shared); });
     }
 
-    void carry_out(const std::string &, mesh::write_line &it)
+    void perform(const std::string &, mesh::write_line &it)
     {
         lines.push_back(it);
     }
 
-    void carry_out(const std::string &, mesh::upstream_replaced &) {}
+    void perform(const std::string &, mesh::upstream_replaced &) {}
 
-    void carry_out(const std::string &, mesh::keep_chain &it)
+    void perform(const std::string &, mesh::keep_chain &it)
     {
         kept[it.route] = it.calls;
     }
 
-    std::priority_queue<entry> queue_;
-    std::uint64_t last_ = 0;
-    std::uint64_t beats_ = 0;
+    std::priority_queue<event> queue_;
+    std::uint64_t last_id_ = 0;
+    std::uint64_t heartbeats_ = 0;
     std::uint16_t last_port_ = 1000;
     std::map<mesh::link_ref, link> links_;
     std::map<std::string, call_ref> calls_;
-    std::map<call_ref, answer_function> waiting_;
+    std::map<call_ref, answer_function> answer_handlers_;
     std::set<std::pair<std::string, run_ref>> open_runs_;
 };
 
-/// \returns a route of host "h"
+/// \returns a route of the host "h"
 inline traffic_route route_of(const std::string &name, const std::string &prefix,
                               const std::string &service, repeatability repeats,
                               std::uint32_t priority = 0)
@@ -446,7 +449,7 @@
                          seconds(1), priority, 2,      {{service, 1}}};
 }
 
-/// \returns a policy with these routes
+/// \returns a policy with the given routes
 inline traffic_policy policy_of(std::uint64_t version, std::vector<traffic_route> routes)
 {
     return value_of(make_policy(version, std::move(routes), {}, caller_limits{}));
--- a/test/unit/mesh_decisions.cpp
+++ b/test/unit/mesh_decisions.cpp
@@ -21,8 +21,8 @@
     return out;
 }
 
-/// Counts where 1,000 calls from zone a go.
-std::map<std::string, int> place(const mesh::directory &nodes)
+/// \returns the number of 1,000 calls from zone a that are sent to each node
+std::map<std::string, int> choose_nodes(const mesh::directory &nodes)
 {
     random_source random(1);
     std::map<std::string, int> out;
@@ -39,10 +39,10 @@
     traffic_route route = test::route_of("r", "/r/", "x", repeatability::idempotent);
     route.services = {{"x", 90}, {"y", 10}};
     mesh::traffic_split split;
-    int to_y = 0;
+    int chosen_y = 0;
     for (int i = 1; i <= 200; ++i) {
-        to_y += choose_service(split, route) == "y" ? 1 : 0;
-        CHECK(std::abs(to_y - i / 10.0) <= 1);
+        chosen_y += choose_service(split, route) == "y" ? 1 : 0;
+        CHECK(std::abs(chosen_y - i / 10.0) <= 1);
     }
 }
 
@@ -59,15 +59,14 @@
     CHECK(find_route(policy, "h", "*") == nullptr);
 }
 
-// Story: an upstream joins a service whose others have known run times. With a
-// guess that is longer than theirs it would lose each comparison, and never get
-// the call by which its own run time becomes known.
+// Guards against starving a new upstream. With an assumed run time longer than the known
+// ones it would lose every comparison, and its own run time would never be measured.
 TEST_CASE("new upstream, run time not known, gets calls")
 {
     mesh::directory nodes;
     nodes.nodes["old"] = view_of("old", "a", 20, 5, 12000);
     nodes.nodes["new"] = view_of("new", "a", 20, 0, 0);
-    CHECK(place(nodes)["new"] > 300);
+    CHECK(choose_nodes(nodes)["new"] > 300);
 }
 
 TEST_CASE("upstream near, not full, gets all calls of its zone")
@@ -75,7 +74,7 @@
     mesh::directory nodes;
     nodes.nodes["near"] = view_of("near", "a", 20, 10, 30000);
     nodes.nodes["far"] = view_of("far", "b", 20, 0, 10000);
-    CHECK(place(nodes)["far"] == 0);
+    CHECK(choose_nodes(nodes)["far"] == 0);
 }
 
 TEST_CASE("upstream near, with a long queue, lets calls leave the zone")
@@ -84,7 +83,7 @@
     nodes.nodes["near"] = view_of("near", "a", 20, 20, 30000);
     nodes.nodes["near"].status.waiting = 30;
     nodes.nodes["far"] = view_of("far", "b", 20, 5, 30000);
-    CHECK(place(nodes)["far"] > 900);
+    CHECK(choose_nodes(nodes)["far"] > 900);
 }
 
 TEST_CASE("upstream that fails, another near, gets few calls")
@@ -96,7 +95,7 @@
         note_sent(nodes, "bad");
         note_call_end(nodes, "bad", mesh::call_end::failed, time_point(seconds(10)));
     }
-    CHECK(place(nodes)["bad"] < 50);
+    CHECK(choose_nodes(nodes)["bad"] < 50);
 }
 
 TEST_CASE("gate with all slots in use, calls that wait, go by class and by what gets late first")
@@ -109,7 +108,7 @@
         return enter_gate(gate, {run_ref{run}, priority, inner, seconds(1), due, late, !inner}) ==
                gate_verdict::wait;
     };
-    CHECK_FALSE(waits(1, 2, false, 900, false));  // has the slot
+    CHECK_FALSE(waits(1, 2, false, 900, false));  // gets the slot
     CHECK(waits(2, 2, true, 900, false));
     CHECK(waits(3, 2, false, 100, true));
     CHECK(waits(4, 2, false, 200, false));
@@ -122,9 +121,9 @@
     }
 }
 
-// Story: a burst has filled the queue of a service. A call of a request that was let
-// in comes, with most of its time left, and is turned away for the queue's length
-// although it would have had its slot in a tenth of a second. The whole request fails.
+// Guards against refusing nested calls because of the queue length. After a burst, a call
+// of an admitted request that has most of its time left was refused although it would have
+// got a slot within a tenth of a second, and the whole request failed.
 TEST_CASE("gate with a long queue, call of a run that has time, waits")
 {
     mesh::run_gate gate;
@@ -153,8 +152,8 @@
     CHECK(enter_gate(gate, {run_ref{3}, 0, false, seconds(1)}) == gate_verdict::wait);
 }
 
-// Story: each of many nodes repeats what failed, and a service that is short of
-// room gets twice the calls. A node's repeats stay a part of its own requests.
+// Guards against retry storms: if every node retries all failed calls, an overloaded
+// service gets twice the load. A node's retries stay below a share of its own requests.
 TEST_CASE("repeats to a service, many failures, stay within the budget")
 {
     mesh::repeat_budget budget;
@@ -171,9 +170,8 @@
     CHECK_FALSE(can_repeat(budget, 5));
 }
 
-// Story: a service that gets few requests of callers loses an answer now and
-// then. Its share of repeats is next to nothing; the slack of the bound, divided
-// among the nodes, still pays for a few.
+// A service with few requests loses an occasional answer. The share of its requests earns
+// almost no retries, but this node's part of the slack has to pay for a few.
 TEST_CASE("repeats to a service, few requests, are paid by the slack of all nodes")
 {
     mesh::repeat_budget budget;
@@ -185,13 +183,13 @@
     CHECK(can_repeat(budget, 1));
 }
 
-// Story: for a minute nothing fails, and each of 85 nodes saves up repeats. Then a
-// zone is cut off and all nodes repeat at once: the service gets far more repeats
-// than its bound, which counts the last ten seconds.
+// Guards against exceeding the retry limit after a quiet period: for a minute nothing
+// fails and each of 85 nodes saves up tokens. Then a zone is cut off and all nodes retry at
+// once. The limit covers the last ten seconds only.
 TEST_CASE("repeats of 85 nodes, much fails after a calm minute, stay within the bound")
 {
     constexpr int nodes = 85;
-    constexpr int per_s = 120;  // requests of callers to the service, over all nodes
+    constexpr int per_s = 120;  // callers' requests to the service, over all nodes
     constexpr double allowed = 0.2 * per_s * 10 + 115;
     mesh::repeat_slack slack{115, seconds(10), nodes};
     std::vector<mesh::repeat_budget> budgets(nodes);
@@ -252,8 +250,8 @@
 
 namespace {
 
-/// Front, middle and deep services in zones a and b; zone a has no deep one. A
-/// front run makes one middle call, a middle run four deep calls.
+/// Front, middle and deep services in zones a and b, but no deep service in zone a. A front
+/// run makes one middle call, a middle run four deep calls.
 struct zone_plan_fixture
 {
     traffic_policy policy =
@@ -282,10 +280,10 @@
 
 }  // namespace
 
-// Story: a zone has lost its only upstream of a deep service. Each middle run that
-// stays in the zone makes four calls over the link between zones, and bytes there
-// are paid for; sent across itself, it makes one. The front run stays: it
-// would cross once as well.
+// Guards against needless traffic between zones, which is billed by the byte. A zone has
+// lost its only upstream of a deep service. Each middle run that stays in the zone makes
+// four cross-zone calls; a middle call to the other zone is one. A front call stays, since
+// the front run makes one cross-zone call in either zone.
 TEST_CASE_FIXTURE(zone_plan_fixture, "zone without the deep service, its callers, cross above it")
 {
     CHECK(stay("m") == 0);
@@ -321,5 +319,5 @@
     CHECK(on.admission);
     auto failed = switch_off(on, "admission,magic");
     REQUIRE_FALSE(succeeded(failed));
-    CHECK(error_of(failed).message == "no mechanism 'magic'");
+    CHECK(error_of(failed).message == "unknown feature 'magic'");
 }
--- a/test/unit/mesh_demand.cpp
+++ b/test/unit/mesh_demand.cpp
@@ -6,17 +6,17 @@
 
 namespace {
 
-/// What callers got of one kind of request.
-struct kind_share
+/// Shares of the requests of one kind by outcome.
+struct kind_outcome
 {
     double served = 0;
     double refused = 0;
     double failed = 0;
 };
 
-/// Three services one behind the other. Half a second passes between the moment
-/// a request is let in and the last of the deep calls that it causes. The deep
-/// upstreams differ in speed and run 3,000 calls a second together.
+/// A chain of three services. The last deep call of a request arrives half a second
+/// after the request was admitted. The deep upstreams differ in speed and together run
+/// 3,000 calls a second.
 struct long_chain_fixture
 {
     test::mesh_world w{31};
@@ -50,8 +50,8 @@
         w.run_for(seconds(1));
     }
 
-    /// Asks for \a times what the deep service runs, at random moments.
-    void play(duration length, double times)
+    /// Sends \a times the capacity of the deep service at random times.
+    void send_load(duration length, double times)
     {
         ask_at_random(w, load, {"order", times * 100}, length);
         ask_at_random(w, load, {"list", times * 500}, length);
@@ -59,9 +59,9 @@
         w.run_for(length);
     }
 
-    kind_share outcome(const std::string &kind, time_point since) const
+    kind_outcome outcome(const std::string &kind, time_point since) const
     {
-        kind_share out;
+        kind_outcome out;
         double all = 0;
         for (const auto &[id, it] : w.results) {
             if (id.compare(0, kind.size() + 1, kind + "-") == 0 && it.asked_at >= since) {
@@ -76,8 +76,8 @@
         return out;
     }
 
-    /// \returns the share of the time that the deep slots were in use
-    double deep_use(time_point since) const
+    /// \returns the mean utilization of the deep slots
+    double deep_utilization(time_point since) const
     {
         double busy_ms = 0;
         for (const test::upstream_run &it : w.runs) {
@@ -91,42 +91,42 @@
 
 }  // namespace
 
-// Story: requests are let in by what the deep service can run, and the calls that
-// they cause arrive there half a second later. A level that answers the queue of
-// the moment is cut until the queue is gone and raised while too little is under
-// way: the deep upstreams idle and overflow in turns, and callers are refused that
-// could have been served. With such a level 76 in 100 slots were in use and 79 in
-// 100 orders served; with the demand measured at the gates 88 and 99.
+// Guards against an oscillating admission level. Requests are admitted by the capacity of
+// the deep service, but their calls arrive there half a second later. A level that
+// follows the current queue length is lowered until the queue is empty and raised while
+// too few calls are in flight: the deep upstreams alternate between idle and overloaded,
+// and requests are refused that could have been served. Such a level gave a utilization
+// of 76 % with 79 % of the orders served; demand measured at the gates gave 88 % and 99 %.
 TEST_CASE_FIXTURE(long_chain_fixture, "long chain, half as much again as it runs, keeps it busy")
 {
-    play(seconds(4), 1.5);
-    time_point settled = w.now;
-    play(seconds(8), 1.5);
-    double use = deep_use(settled);
+    send_load(seconds(4), 1.5);
+    time_point steady_since = w.now;
+    send_load(seconds(8), 1.5);
+    double utilization = deep_utilization(steady_since);
     w.run_for(seconds(4));
-    kind_share order = outcome("order", settled);
-    kind_share list = outcome("list", settled);
-    kind_share lookup = outcome("lookup", settled);
-    MESSAGE("use ", use, " order ", order.served, " lookup ", lookup.served, " list ", list.served,
-            " failed ", list.failed);
-    CHECK(use > 0.86);  // the gate leaves 2 of 21 slots free
+    kind_outcome order = outcome("order", steady_since);
+    kind_outcome list = outcome("list", steady_since);
+    kind_outcome lookup = outcome("lookup", steady_since);
+    MESSAGE("utilization ", utilization, " order ", order.served, " lookup ", lookup.served,
+            " list ", list.served, " failed ", list.failed);
+    CHECK(utilization > 0.86);  // the gate does not use 2 of the 21 slots
     CHECK(order.served > 0.97);
     CHECK(lookup.served > 0.97);
     CHECK(list.failed < 0.02);
 }
 
-// Story: a burst is over, and the load is one tenth below what the deep service
-// runs. Callers go on being refused, as the level swings around.
+// Guards against refusals after a burst: the load is back at 90 % of the deep service's
+// capacity, but an oscillating level keeps refusing requests.
 TEST_CASE_FIXTURE(long_chain_fixture, "long chain, burst is over, serves all again")
 {
-    play(seconds(3), 0.9);
-    play(seconds(3), 1.8);
-    play(seconds(2), 0.9);
-    time_point calm = w.now;
-    play(seconds(8), 0.9);
+    send_load(seconds(3), 0.9);
+    send_load(seconds(3), 1.8);
+    send_load(seconds(2), 0.9);
+    time_point burst_over_at = w.now;
+    send_load(seconds(8), 0.9);
     w.run_for(seconds(4));
-    kind_share list = outcome("list", calm);
+    kind_outcome list = outcome("list", burst_over_at);
     MESSAGE("list served ", list.served, " refused ", list.refused);
-    CHECK(outcome("order", calm).served > 0.99);
+    CHECK(outcome("order", burst_over_at).served > 0.99);
     CHECK(list.served > 0.97);
 }
--- a/test/unit/mesh_gate_order.cpp
+++ b/test/unit/mesh_gate_order.cpp
@@ -6,16 +6,16 @@
 
 namespace {
 
-/// What callers got of the requests that were let in.
+/// Outcome of the admitted requests of one kind, as shares.
 struct outcome_share
 {
     double in_time = 0;
     double failed = 0;
 };
 
-/// A busy service with two kinds of callers' requests: short ones of its own, wanted
-/// within a quarter of a second, and lists that need eight of its runs one after the
-/// other and may take more than a second.
+/// A busy leaf service with two kinds of callers' requests: short notices with a latency
+/// objective of a quarter of a second, and lists that need eight sequential leaf runs and
+/// may take more than a second.
 struct shared_leaf_fixture
 {
     test::mesh_world w{57};
@@ -41,15 +41,15 @@
         }
     }
 
-    void set(bool mesh::mesh_switches::*which, bool value)
+    void set(bool mesh::mesh_switches::*flag, bool value)
     {
         for (auto &[name, node] : w.nodes) {
-            node.on.*which = value;
+            node.on.*flag = value;
         }
     }
 
-    /// Asks for \a times what the leaf runs, at random moments.
-    void play(duration length, double times)
+    /// Sends \a times the capacity of the leaf service at random times.
+    void send_load(duration length, double times)
     {
         constexpr double notices = 80;
         constexpr double lists = 160;
@@ -82,22 +82,23 @@
 
 }  // namespace
 
-// Story: a burst comes, and for some tenths of a second more is let in than the busy
-// service runs. Notices need one short run of it and wait behind the calls of lists,
-// which have a second left: notices are late, or refused after they waited.
+// Guards against missed latency objectives during a burst, when for some tenths of a second
+// more calls are admitted than the leaf service can run. In order of arrival, notices,
+// which need one short run, wait behind the calls of lists, which have a second left, and
+// are late or refused after the wait.
 TEST_CASE_FIXTURE(shared_leaf_fixture, "busy leaf, burst, short requests are answered in time")
 {
     bool ordered = true;
-    SUBCASE("ordered by what gets late first") {}
+    SUBCASE("ordered by due time") {}
     SUBCASE("in order of arrival")
     {
         ordered = false;
     }
     w.run_for(seconds(1));
     set(&mesh::mesh_switches::gate_order, ordered);
-    play(seconds(3), 0.7);
+    send_load(seconds(3), 0.7);
     time_point burst = w.now;
-    play(seconds(2), 2.5);
+    send_load(seconds(2), 2.5);
     w.run_for(seconds(5));
     outcome_share notice = outcome("notice", milliseconds(250), burst);
     outcome_share list = outcome("list", milliseconds(1200), burst);
--- a/test/unit/mesh_levels.cpp
+++ b/test/unit/mesh_levels.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Share of the requests of a kind that were answered, refused or failed.
+/// Shares of the requests of one kind that were answered, refused or failed.
 struct kind_outcome
 {
     double served = 0;
@@ -15,12 +15,12 @@
     double p99_ms = 0;
 };
 
-/// A front service whose runs call a deep one five times each, and lookups that
-/// go to the deep one alone. The deep service runs 2 x 1,000 calls a second.
+/// A front service whose runs call a deep service several times each, and lookups that
+/// go directly to the deep service. The deep service runs 2 x 1,000 calls a second.
 struct mesh_levels_fixture
 {
     test::mesh_world w{7};
-    int asked = 0;
+    int sent = 0;
 
     mesh_levels_fixture()
     {
@@ -44,8 +44,8 @@
         w.run_for(seconds(1));
     }
 
-    /// Asks evenly for \a per_s requests a second of each kind.
-    void play(duration length, double orders, double lists, double lookups)
+    /// Sends the given numbers of requests per second of each kind, evenly spaced.
+    void send_load(duration length, double orders, double lists, double lookups)
     {
         for (auto [path, per_s] :
              {std::pair("order", orders), std::pair("list", lists), std::pair("lookup", lookups)}) {
@@ -53,8 +53,8 @@
             for (int i = 0; i < n; ++i) {
                 std::string kind = path;
                 w.at(w.now + duration(static_cast<std::int64_t>(i * 1e6 / per_s)), [this, kind] {
-                    std::string id = kind + "-" + std::to_string(++asked);
-                    const char *node = asked % 2 == 0 ? "f1" : "d2";
+                    std::string id = kind + "-" + std::to_string(++sent);
+                    const char *node = sent % 2 == 0 ? "f1" : "d2";
                     w.request(node, id, "/" + kind + "/x", seconds(2));
                 });
             }
@@ -66,7 +66,7 @@
     {
         kind_outcome out;
         double all = 0;
-        std::vector<double> took;
+        std::vector<double> latencies_s;
         for (const auto &[id, it] : w.results) {
             if (id.compare(0, kind.size() + 1, kind + "-") != 0 || it.asked_at < since) {
                 continue;
@@ -75,11 +75,12 @@
             out.served += it.status == 200 ? 1 : 0;
             out.refused += it.status == 503 ? 1 : 0;
             if (it.status == 200) {
-                took.push_back(std::chrono::duration<double>(it.answered_at - it.asked_at).count());
+                latencies_s.push_back(
+                    std::chrono::duration<double>(it.answered_at - it.asked_at).count());
             }
         }
-        std::sort(took.begin(), took.end());
-        out.p99_ms = took.empty() ? 0 : took[took.size() * 99 / 100] * 1000;
+        std::sort(latencies_s.begin(), latencies_s.end());
+        out.p99_ms = latencies_s.empty() ? 0 : latencies_s[latencies_s.size() * 99 / 100] * 1000;
         out.served /= all;
         out.refused /= all;
         out.failed = 1 - out.served - out.refused;
@@ -91,63 +92,63 @@
 
 TEST_CASE_FIXTURE(mesh_levels_fixture, "load within capacity, all kinds, are served")
 {
-    play(seconds(5), 100, 150, 200);
+    send_load(seconds(5), 100, 150, 200);
     w.run_for(seconds(3));
     for (const char *kind : {"order", "list", "lookup"}) {
         CHECK(outcome(kind, time_point{}).served > 0.99);
     }
 }
 
-// Story: list requests ask a deep service for twice what it can run. Each that is
-// let in and fails at its fourth call has spent three for nothing: without a
-// verdict where it enters nearly all of them fail. The most urgent and the cheap
-// lookups are to be served, and the rest refused before any work is spent.
+// Guards against late failures during overload: list requests need twice the capacity of
+// the deep service. One that is admitted and fails at its fourth call has wasted three
+// runs, and without admission control nearly all of them fail. Urgent and cheap requests
+// have to be served, and the excess refused before any work is done.
 TEST_CASE_FIXTURE(mesh_levels_fixture, "twice the capacity, urgent and cheap kinds, are kept")
 {
-    play(seconds(4), 100, 700, 200);
-    time_point settled = w.now;
-    play(seconds(8), 100, 700, 200);
+    send_load(seconds(4), 100, 700, 200);
+    time_point steady_since = w.now;
+    send_load(seconds(8), 100, 700, 200);
     w.run_for(seconds(3));
-    kind_outcome order = outcome("order", settled);
-    kind_outcome lookup = outcome("lookup", settled);
-    kind_outcome list = outcome("list", settled);
+    kind_outcome order = outcome("order", steady_since);
+    kind_outcome lookup = outcome("lookup", steady_since);
+    kind_outcome list = outcome("list", steady_since);
     MESSAGE("order ", order.served, " lookup ", lookup.served, " list ", list.served, " failed ",
             list.failed, " p99 ms ", order.p99_ms, " ", lookup.p99_ms);
     CHECK(order.served > 0.97);
     CHECK(lookup.served > 0.97);
     CHECK(list.failed < 0.02);
-    // 2,100 runs a second less 400 for the others, of 3,500 asked for.
+    // The lists get 2,100 runs a second less 400 for the other kinds, and ask for 3,500.
     CHECK(list.served > 0.35);
     CHECK(lookup.p99_ms < 150);
 }
 
-// Story: the load falls back to half. A level that stays low would go on to refuse
-// what there is room for.
+// Guards against an admission level that stays low after the load has dropped to half:
+// requests would be refused although there is capacity for them.
 TEST_CASE_FIXTURE(mesh_levels_fixture, "load falls, after two seconds, nothing is refused")
 {
-    play(seconds(6), 100, 700, 200);
-    play(seconds(2), 50, 100, 100);
-    time_point settled = w.now;
-    play(seconds(3), 50, 100, 100);
+    send_load(seconds(6), 100, 700, 200);
+    send_load(seconds(2), 50, 100, 100);
+    time_point steady_since = w.now;
+    send_load(seconds(3), 50, 100, 100);
     w.run_for(seconds(3));
-    CHECK(outcome("list", settled).served > 0.99);
+    CHECK(outcome("list", steady_since).served > 0.99);
 }
 
-// Story: the deep service turns away half of all calls. A list request that needs
-// five comes through once in thirty; it is refused at once, with word when to come
-// back, in place of an error after all its work.
+// The deep service sheds half of all calls. A list request, which needs five, succeeds
+// once in thirty attempts. It has to be refused at once with a retry time instead of
+// failing after all its work.
 TEST_CASE_FIXTURE(mesh_levels_fixture, "deep service sheds, long chains, are refused at once")
 {
-    play(seconds(2), 50, 100, 100);
+    send_load(seconds(2), 50, 100, 100);
     for (const char *name : {"d1", "d2"}) {
         w.upstreams[name].shed = 0.5;
     }
-    play(seconds(1), 50, 100, 100);
-    time_point settled = w.now;
-    play(seconds(4), 50, 100, 100);
+    send_load(seconds(1), 50, 100, 100);
+    time_point steady_since = w.now;
+    send_load(seconds(4), 50, 100, 100);
     w.run_for(seconds(3));
-    CHECK(outcome("list", settled).refused > 0.7);
-    CHECK(outcome("lookup", settled).served > 0.4);
+    CHECK(outcome("list", steady_since).refused > 0.7);
+    CHECK(outcome("lookup", steady_since).served > 0.4);
 }
 
 TEST_CASE("services of a chain, cheap route of a middle class, is cut with the first class")
@@ -173,39 +174,39 @@
 
 namespace {
 
-/// The fixture's services with all upstreams of the deep one gone.
+/// The services of mesh_levels_fixture, with all upstreams of the deep service draining.
 struct deep_gone_fixture : mesh_levels_fixture
 {
-    kind_outcome play_without_deep(bool chains_need_all)
+    kind_outcome orders_without_deep(bool chains_need_all)
     {
-        play(seconds(2), 100, 100, 10);  // the chains are learned
+        send_load(seconds(2), 100, 100, 10);  // learns the calls per run
         for (auto &[name, n] : w.nodes) {
             n.on.chains_need_all = chains_need_all;
         }
         w.beat("d1", mesh_wire::upstream_state::draining);
         w.beat("d2", mesh_wire::upstream_state::draining);
         w.run_for(milliseconds(200));
-        time_point gone = w.now;
-        play(seconds(2), 100, 100, 10);
+        time_point drained_at = w.now;
+        send_load(seconds(2), 100, 100, 10);
         w.run_for(seconds(2));
-        return outcome("order", gone);
+        return outcome("order", drained_at);
     }
 };
 
 }  // namespace
 
-// Story: a zone that is cut off has no upstream of a deep service. An order runs
-// at the front, fails at its first call, and its caller is told 500: it may have
-// run, and must not be sent again. Refused where it enters it may come back, and
-// finds the service when the cut is over.
+// Guards against 500 answers while a partitioned zone has no upstream of a deep service.
+// An order that is admitted fails at its first nested call, and its caller must not
+// retry, since the order may have run. If it is refused on entry, the caller can retry
+// and succeeds when the partition is over.
 TEST_CASE_FIXTURE(deep_gone_fixture, "deep service gone, orders, are refused where they enter")
 {
-    kind_outcome order = play_without_deep(true);
+    kind_outcome order = orders_without_deep(true);
     CHECK(order.refused > 0.99);
 }
 
 TEST_CASE_FIXTURE(deep_gone_fixture, "deep service gone, first service checked alone, orders fail")
 {
-    kind_outcome order = play_without_deep(false);
+    kind_outcome order = orders_without_deep(false);
     CHECK(order.failed > 0.99);
 }
--- a/test/unit/mesh_return_time.cpp
+++ b/test/unit/mesh_return_time.cpp
@@ -30,8 +30,8 @@
 
 namespace {
 
-/// Lists need a deep service eight times. All nodes lose power and start again; the
-/// deep upstreams announce themselves a second after the others.
+/// Lists make eight calls to a deep service. All nodes lose power and restart; the deep
+/// upstream announces itself a second after the others.
 struct power_back_fixture
 {
     test::mesh_world w{91};
@@ -62,10 +62,10 @@
 
 }  // namespace
 
-// Story: all machines lose power. When they are back, the deep service is heard a
-// second later than the others. Lists are let in and fail with 500 at their first
-// call, and their callers may not come again. With the chains that the store has kept
-// they are refused at once, with the time at which the deep service will be heard.
+// Guards against failed requests after a power failure, when the deep service announces
+// itself a second after the others. Lists that are admitted before fail with 500 at their
+// first call, and their callers must not retry. With the calls per run restored from the
+// store, they are refused at once, with the time at which the deep service is expected.
 TEST_CASE_FIXTURE(power_back_fixture,
                   "power back, deep service missing, lists are refused, not failed")
 {
@@ -101,6 +101,6 @@
     }
     MESSAGE("kept ", kept, " refused ", refused);
     CHECK((refused == 50) == kept);
-    // What failed at its first call must not make the chain look shorter.
+    // Runs that failed at their first call must not lower the learned calls per run.
     CHECK(w.kept["list"].at("call") > 7);
 }
