--- a/gullstall/mesh.hpp
+++ b/gullstall/mesh.hpp
@@ -1,9 +1,9 @@
 #ifndef GULLSTALL_MESH_HPP
 #define GULLSTALL_MESH_HPP
 
-/// Mesh module: decisions of a node that finds its peers in the platform's
-/// store: which upstream gets a request, when it is handed over, what a caller
-/// is told.
+/// Mesh module: decision logic of a node that discovers its peers through the platform's
+/// store. It covers admission control, load balancing, queueing, retries and the responses
+/// to callers.
 #include "gullstall/src/mesh/directory.hpp"
 #include "gullstall/src/mesh/mesh_actions.hpp"
 #include "gullstall/src/mesh/mesh_node.hpp"
--- a/gullstall/src/mesh/call_chain.cpp
+++ b/gullstall/src/mesh/call_chain.cpp
@@ -7,12 +7,12 @@
 
 namespace {
 
-/// Runs of a route after which what they ask for is believed.
-constexpr double enough_runs = 20;
+/// Minimum number of runs for an estimate.
+constexpr double min_runs = 20;
 
-/// Runs that count; older ones fade, so that a new version of an upstream with
-/// other calls is learned within some hundred runs.
-constexpr double most_runs = 400;
+/// Number of runs from which older ones are discounted, so that changed calls of a new
+/// upstream version are learned within a few hundred runs.
+constexpr double max_runs = 400;
 
 }  // namespace
 
@@ -37,7 +37,7 @@
     for (const auto &[route, calls] : ended.calls) {
         seen.calls[route] += calls;
     }
-    if (seen.runs > most_runs) {
+    if (seen.runs > max_runs) {
         seen.runs /= 2;
         for (auto &[name, calls] : seen.calls) {
             calls /= 2;
@@ -47,7 +47,7 @@
 
 std::optional<run_ref> find_parent(const call_chain &it, const std::string &request_id)
 {
-    // The id of a call is that of its run, a separator, and a part of its own.
+    // The id of a call is the id of its run, a separator and a suffix.
     auto is_separator = [](unsigned char c) { return std::isalnum(c) == 0; };
     auto last = std::find_if(request_id.rbegin(), request_id.rend(), is_separator);
     if (last == request_id.rend()) {
@@ -69,7 +69,7 @@
 std::optional<calls_per_run> learned_calls(const call_chain &it, const std::string &route)
 {
     auto found = it.below.find(route);
-    if (found == it.below.end() || found->second.runs < enough_runs) {
+    if (found == it.below.end() || found->second.runs < min_runs) {
         return std::nullopt;
     }
     calls_per_run out;
--- a/gullstall/src/mesh/call_chain.hpp
+++ b/gullstall/src/mesh/call_chain.hpp
@@ -10,17 +10,17 @@
 
 namespace gullstall::mesh {
 
-/// Calls that one run of a route makes, by the route of the calls.
+/// Mean number of calls made by one run of a route, by the route of the calls.
 using calls_per_run = std::map<std::string, double>;
 
-/// Which requests that enter here are calls of runs on the own upstream, and
-/// which runs make how many of them. No field names the run, but upstreams
-/// derive the ids of their calls from the id of the run. A call whose id does
-/// not show its run counts as a caller's request: it is judged where it enters,
-/// which is safe and costs the work of the run above when it is refused.
+/// Associates calls made by local runs with these runs, and learns how many calls the runs
+/// of each route make. Calls carry no reference to their run, but upstreams derive the
+/// request ids of their calls from the id of the run. A call whose id does not match is
+/// treated as a caller's request: it is subject to admission control, which is safe but
+/// wastes the work of the calling run if it is refused.
 struct call_chain
 {
-    /// A run that has not ended, and what it has asked for so far.
+    /// A run in progress and the calls that it has made so far.
     struct open_run
     {
         run_ref run{};
@@ -28,33 +28,32 @@
         calls_per_run calls;
     };
 
-    /// What the runs of a route have asked for.
+    /// Calls observed in the runs of a route.
     struct observed
     {
         double runs = 0;
         std::map<std::string, double> calls;  ///< by route
     };
 
-    std::map<std::string, open_run> open;   ///< by their request's id
-    std::map<std::string, observed> below;  ///< by the runs' route
+    std::map<std::string, open_run> open;   ///< by request id
+    std::map<std::string, observed> below;  ///< by route of the runs
 };
 
-/// Notes a run that was handed over to the upstream.
+/// Records the start of a run.
 void note_run(call_chain &it, run_ref run, const std::string &request_id, const std::string &route);
 
-/// Notes the end of a run. Only a run that ended well has made all its calls: one that
-/// ends with the first call that fails would make the chain look short, just when a
-/// service of it is missing.
+/// Records the end of a run. Only successful runs are counted: a failed one may have
+/// stopped at its first failing call, which would make the chain look too short just when
+/// one of its services is unavailable.
 void note_run_end(call_chain &it, run_ref run, const std::string &request_id, bool ended_well);
 
-/// \returns the run on the own upstream that makes a request with this id, none
-/// when it comes from a caller
+/// \returns the local run that made the request with this id, if any
 std::optional<run_ref> find_parent(const call_chain &it, const std::string &request_id);
 
-/// Notes that the run of the request \a parent_id made a call of \a route.
+/// Records a call of \a route made by the run of the request \a parent_id.
 void note_child(call_chain &it, const std::string &parent_id, const std::string &route);
 
-/// \returns the calls that a run of \a route makes, none when too few were seen
+/// \returns the mean calls of a run of \a route, if enough runs were observed
 std::optional<calls_per_run> learned_calls(const call_chain &it, const std::string &route);
 
 }  // namespace gullstall::mesh
--- a/gullstall/src/mesh/directory.cpp
+++ b/gullstall/src/mesh/directory.cpp
@@ -8,27 +8,25 @@
 
 namespace {
 
-/// Weight of one more call in the moving share of failures: about the last
-/// twenty calls count.
-constexpr double failure_weight = 0.05;
+/// Smoothing factor of the failure rate: an average over about the last 20 calls.
+constexpr double failure_smoothing = 0.05;
 
-/// A share of failures is forgotten by half in this time, so that a node that
-/// gets no calls is tried again.
+/// Half-life of the failure rate, so that a node without calls is tried again.
 constexpr double failure_half_life_us = 2000000;
 
-/// Time without a sign after which a node with calls from here is asked for one:
-/// more than the time of most runs, so that under load nothing is asked.
-constexpr duration quiet_time = milliseconds(150);
+/// Time without a status after which a node with calls in flight is probed. Longer than
+/// most runs, so that no probes are sent under load.
+constexpr duration probe_delay = milliseconds(150);
 
-/// Time in which a node that was asked must answer to be given more calls. A cut
-/// or a frozen node shows so within half a second; the connection itself is given
-/// up much later, since the answers to what is in flight are lost with it. A node
-/// at work on a full core answers within 100 ms.
-constexpr duration answer_time = milliseconds(250);
+/// Time after which an unanswered probe excludes the node from new calls. Together with
+/// the probe delay this detects a network cut or a frozen node within half a second. The
+/// connection itself is closed much later, since closing it loses the replies to calls in
+/// flight. A node on a saturated core answers a probe within 100 ms.
+constexpr duration probe_timeout = milliseconds(250);
 
 bool is_silent(const node_view &it, time_point now)
 {
-    return it.asked_at && now - *it.asked_at >= answer_time;
+    return it.asked_at && now - *it.asked_at >= probe_timeout;
 }
 
 }  // namespace
@@ -127,12 +125,12 @@
     node_view &known = it.nodes[node];
     known.in_flight -= known.in_flight > 0 ? 1 : 0;
     if (end == call_end::failed) {
-        known.failures = recent_failures(known, now) * (1 - failure_weight) + failure_weight;
+        known.failures = recent_failures(known, now) * (1 - failure_smoothing) + failure_smoothing;
         known.failed_at = now;
         return;
     }
     if (end == call_end::good) {
-        known.failures *= 1 - failure_weight;
+        known.failures *= 1 - failure_smoothing;
     }
 }
 
@@ -140,7 +138,7 @@
 {
     std::vector<std::string> out;
     for (auto &[name, view] : it.nodes) {
-        bool is_quiet = view.in_flight > 0 && now - view.status_at >= quiet_time;
+        bool is_quiet = view.in_flight > 0 && now - view.status_at >= probe_delay;
         if (name != own && view.linked && is_quiet && !view.asked_at) {
             view.asked_at = now;
             out.push_back(name);
--- a/gullstall/src/mesh/entry.cpp
+++ b/gullstall/src/mesh/entry.cpp
@@ -10,14 +10,14 @@
 
 namespace {
 
-/// Nodes that are asked for one request before it is refused. Each refusal
-/// brings the state of the node that refused, so that the third choice is a
-/// well informed one; more would hold the caller for nothing.
+/// Maximum number of nodes tried for one request before it is refused. Each refusal carries
+/// the load of the refusing node, so that the third choice is already well informed; more
+/// attempts would only delay the caller.
 constexpr std::uint32_t max_placements = 4;
 
-constexpr std::uint32_t max_class = 15;
+constexpr std::uint32_t max_priority = 15;
 
-/// Sends the call to a node that was not asked yet, has it wait for one, or refuses it.
+/// Sends the call to a node not tried yet, lets it wait for one, or refuses it.
 void place_call(mesh_turn &t, call_ref id)
 {
     entry_call &call = t.n.calls.at(id);
@@ -51,7 +51,7 @@
     t.out.emplace_back(send_to_node{node, mesh_frame(std::move(message))});
 }
 
-/// \returns the budget of a service, brought up to now
+/// \returns the retry budget of a service, accrued up to now
 repeat_budget &budget_of(mesh_turn &t, const std::string &service)
 {
     repeat_slack slack{t.n.settings.limits.retry_slack, seconds(t.n.settings.limits.retry_window_s),
@@ -61,9 +61,10 @@
     return out;
 }
 
-/// Pays for a repeat at every service that it reaches: calls of a repeated run
-/// are repeats too.
-bool pay_for_repeat(mesh_turn &t, const entry_call &call)
+/// Charges a retry to the budget of every service that it reaches, since the calls of a
+/// repeated run are retries too.
+/// \returns false if a budget does not suffice; nothing is charged then
+bool charge_retry(mesh_turn &t, const entry_call &call)
 {
     service_runs needs = t.n.plan.needs.count(call.route) > 0
                              ? t.n.plan.needs.at(call.route)
@@ -79,9 +80,9 @@
     return true;
 }
 
-/// Sends the call once more after it has reached an upstream.
-/// \returns false when that is not allowed
-bool repeat_call(mesh_turn &t, call_ref id)
+/// Retries a call that has reached an upstream.
+/// \returns false if no retry is allowed
+bool retry_call(mesh_turn &t, call_ref id)
 {
     entry_call &call = t.n.calls.at(id);
     bool allowed = t.n.on.repeats && call.handed_over < call.max_attempts &&
@@ -89,7 +90,7 @@
     if (!allowed) {
         return false;
     }
-    if (!pay_for_repeat(t, call)) {
+    if (!charge_retry(t, call)) {
         ++t.n.counters.repeats_denied;
         return false;
     }
@@ -98,8 +99,8 @@
     return true;
 }
 
-/// Takes the call back from the node that has it.
-void take_back(mesh_turn &t, const sent_call &sent)
+/// Cancels a call at the node that it was sent to.
+void cancel_send(mesh_turn &t, const sent_call &sent)
 {
     if (sent.node == t.n.settings.node.name) {
         take_cancel(t, own_link, sent.correlation);
@@ -110,19 +111,17 @@
     t.out.emplace_back(send_to_node{sent.node, mesh_frame(message)});
 }
 
-/// \returns whether the upstream's answer is an error of its own that another
-/// upstream may not make
-bool is_worth_repeating(const entry_call &call, const mesh_wire::reply_message &reply)
+/// \returns whether the response is a server error that another upstream may not return
+bool is_retryable_error(const entry_call &call, const mesh_wire::reply_message &reply)
 {
     constexpr std::uint16_t first_server_error = 500;
-    constexpr std::uint16_t out_of_time = 504;
+    constexpr std::uint16_t gateway_timeout = 504;
     return call.call.idempotent && !call.call.inner && reply.status >= first_server_error &&
-           reply.status != out_of_time;
+           reply.status != gateway_timeout;
 }
 
-/// Sends a call once more whose answer was an error, or passes the error on where that
-/// is not allowed.
-void repeat_after_error(mesh_turn &t, call_ref id, mesh_wire::reply_message &reply)
+/// Retries a call after an error response, or forwards the error if no retry is allowed.
+void retry_after_error(mesh_turn &t, call_ref id, mesh_wire::reply_message &reply)
 {
     entry_call &call = t.n.calls.at(id);
     ++call.handed_over;
@@ -130,14 +129,13 @@
     call.current.reset();
     call.may_have_run = true;
     call.error_answer = std::move(reply);
-    if (!repeat_call(t, id)) {
+    if (!retry_call(t, id)) {
         fail_call(t, id, reason::none);
     }
 }
 
-/// Ends the current send of a call that was not answered: places it again where
-/// that is allowed, or fails it.
-/// \param reached whether it has reached an upstream, or may have
+/// Ends a transmission without a response: sends the call again if allowed, or fails it.
+/// \param reached whether the call has reached an upstream, or may have
 void end_send(mesh_turn &t, call_ref id, outcome how, reason why, bool reached)
 {
     entry_call &call = t.n.calls.at(id);
@@ -150,15 +148,15 @@
         place_call(t, id);
         return;
     }
-    if (!repeat_call(t, id)) {
+    if (!retry_call(t, id)) {
         fail_call(t, id, why);
     }
 }
 
-/// Ties the call to the run on the own upstream that makes it, if one does: it
-/// is judged by the request that the run belongs to, and no second time.
-void inherit(mesh_turn &t, entry_call &entry, const caller_request &request,
-             const std::string &route)
+/// Associates the call with the local run that makes it, if any. Such a call inherits the
+/// admission decision of the caller's request and is not subject to admission itself.
+void inherit_from_run(mesh_turn &t, entry_call &entry, const caller_request &request,
+                      const std::string &route)
 {
     mesh_wire::call_message &call = entry.call;
     std::optional<run_ref> parent = find_parent(t.n.chain, request.request_id);
@@ -175,8 +173,8 @@
     note_child(t.n.chain, run->second.call.request_id, route);
 }
 
-/// \returns the place of a request among all, evenly spread over [0, 1)
-double place_of(const std::string &request_id)
+/// \returns the sampling position of a request, uniform in [0, 1)
+double sampling_position(const std::string &request_id)
 {
     constexpr double scale = 1.0 / 9007199254740992.0;  // 2^-53
     constexpr unsigned unused_bits = 11;
@@ -197,7 +195,7 @@
         return;
     }
     entry_call call;
-    inherit(t, call, request, route->name);
+    inherit_from_run(t, call, request, route->name);
     call.deadline = t.now + request.time_left.value_or(route->timeout);
     call.expires = std::min(call.deadline, t.now + route->timeout);
     if (!call.call.inner && !takes_callers(t.n, t.now, call.expires)) {
@@ -205,7 +203,8 @@
         return;
     }
     if (!call.call.inner) {
-        entry_verdict verdict = judge_at_entry(t, route->name, place_of(request.request_id));
+        entry_verdict verdict =
+            judge_at_entry(t, route->name, sampling_position(request.request_id));
         if (verdict.refused) {
             refuse_request(t, id, request, *verdict.refused);
             return;
@@ -228,7 +227,7 @@
     call.call.idempotent = route->repeats == repeatability::idempotent;
     if (!call.call.inner) {
         call.due = t.now + route->latency_objective;
-        call.call.priority = static_cast<std::uint16_t>(std::min(route->priority, max_class));
+        call.call.priority = static_cast<std::uint16_t>(std::min(route->priority, max_priority));
         earn_repeat(budget_of(t, call.call.service), t.n.settings.retry_ratio);
     }
     t.n.call_expiry.emplace(call.expires, id);
@@ -254,7 +253,7 @@
     forget_call(t, id);
     if (current) {
         note_call_end(t.n.nodes, current->node, call_end::refused, t.now);
-        take_back(t, *current);
+        cancel_send(t, *current);
     }
 }
 
@@ -265,19 +264,19 @@
     }
     auto known = t.n.sent.find(reply.correlation);
     if (known == t.n.sent.end()) {
-        return;  // its request has its answer already
+        return;  // the request has already been answered
     }
     call_ref id = known->second;
     if (t.n.calls.at(id).current->node != from) {
-        return;  // the number belongs to a call to another node
+        return;  // the correlation belongs to a call to another node
     }
     call_end end = reply.outcome == outcome::answered      ? call_end::good
                    : reply.outcome == outcome::not_started ? call_end::refused
                                                            : call_end::failed;
     note_call_end(t.n.nodes, from, end, t.now);
     if (reply.outcome == outcome::answered) {
-        if (is_worth_repeating(t.n.calls.at(id), reply)) {
-            repeat_after_error(t, id, reply);
+        if (is_retryable_error(t.n.calls.at(id), reply)) {
+            retry_after_error(t, id, reply);
             return;
         }
         pass_answer(t, id, reply);
@@ -296,7 +295,7 @@
         fail_call(t, id, reason::timed_out);
         if (current) {
             note_call_end(t.n.nodes, current->node, call_end::failed, t.now);
-            take_back(t, *current);
+            cancel_send(t, *current);
         }
     }
 }
@@ -309,7 +308,7 @@
         if (found == t.n.calls.end() || found->second.current) {
             continue;
         }
-        // Nodes that refused it may have started again.
+        // Nodes that refused the call may have restarted since.
         found->second.tried.clear();
         found->second.placements = std::min(found->second.placements, max_placements - 1);
         place_call(t, id);
--- a/gullstall/src/mesh/entry_answers.cpp
+++ b/gullstall/src/mesh/entry_answers.cpp
@@ -10,17 +10,17 @@
 
 namespace {
 
-/// Time left that is assumed of a caller that told no deadline.
-constexpr duration assumed_left = seconds(5);
+/// Time left assumed for a caller without a deadline.
+constexpr duration default_time_left = seconds(5);
 
-/// Good answers for each one that is logged; the line says so.
-constexpr std::uint64_t answers_per_line = 100;
+/// Sampling interval of log lines for successful responses; given in the line as one_of.
+constexpr std::uint64_t answer_log_interval = 100;
 
-/// \returns the time until a return may find what is missing now
-duration until_better(const mesh_turn &t, reason why, duration left)
+/// \returns the time after which a retry may succeed
+duration retry_delay(const mesh_turn &t, reason why, duration left)
 {
     if (why == reason::shed) {
-        return left;  // the upstreams' trouble outlasts any return that is soon
+        return left;  // an overload outlasts any early retry
     }
     bool is_missing = why == reason::no_upstream || why == reason::no_policy;
     milliseconds interval(t.n.settings.upstream.heartbeat_interval_ms);
@@ -29,7 +29,7 @@
 
 duration return_time(mesh_turn &t, reason why, duration left)
 {
-    refusal it{left, t.n.on.timed_returns ? until_better(t, why, left) : duration{}};
+    refusal it{left, t.n.on.timed_returns ? retry_delay(t, why, left) : duration{}};
     return t.n.on.spread_returns ? draw_return_time(it, t.n.random) : latest_return_time(it);
 }
 
@@ -53,13 +53,13 @@
     return mesh_wire::EnumNamereason(why);
 }
 
-/// \returns the services that don't take all, with level and share turned away
+/// \returns the services that shed load, as service=level/shed
 std::string print_states(const std::map<std::string, service_state> &states)
 {
-    constexpr double noted_shed = 0.01;
+    constexpr double min_logged_shed = 0.01;
     std::string out;
     for (const auto &[service, state] : states) {
-        if (state.level < open_level || state.shed > noted_shed) {
+        if (state.level < open_level || state.shed > min_logged_shed) {
             out += (out.empty() ? "" : " ") + service + "=" + std::to_string(state.level) + "/" +
                    std::to_string(state.shed);
         }
@@ -87,7 +87,7 @@
 
 void refuse_request(mesh_turn &t, call_ref id, const caller_request &request, reason why)
 {
-    duration left = request.time_left.value_or(assumed_left);
+    duration left = request.time_left.value_or(default_time_left);
     caller_answer answer;
     answer.status = status_of(why, false);
     answer.why = why;
@@ -158,13 +158,13 @@
     constexpr std::uint16_t first_error = 400;
     bool is_good = reply.status < first_error;
     count_answer(t, call.route, is_good ? "answered" : "upstream-error", "none");
-    bool is_sampled = is_good && ++t.n.counters.good_answers % answers_per_line == 0;
+    bool is_sampled = is_good && ++t.n.counters.good_answers % answer_log_interval == 0;
     if (!is_good || is_sampled) {
         t.out.emplace_back(
             write_line{write_line::severity::info,
                        "entry",
                        is_good ? "request-answered" : "upstream-error",
-                       {{"one_of", std::to_string(is_good ? answers_per_line : 1)},
+                       {{"one_of", std::to_string(is_good ? answer_log_interval : 1)},
                         {"request", call.call.request_id},
                         {"status", std::to_string(reply.status)},
                         {"route", call.route},
--- a/gullstall/src/mesh/members.cpp
+++ b/gullstall/src/mesh/members.cpp
@@ -6,18 +6,16 @@
 
 namespace {
 
-/// Time between two statuses to a node that hears nothing else from here. A
-/// connection counts as silent after three of them.
+/// Interval of periodic statuses. A connection counts as silent after three missed ones.
 constexpr duration status_interval = milliseconds(500);
 
-/// How long the platform's store has the first word on a newer policy. It
-/// tells all nodes at the same moment; asking a peer at once would send the
-/// same bytes between zones once more for each node.
-constexpr duration policy_patience = milliseconds(300);
+/// Time that the platform's store has to deliver a newer policy before it is fetched from a
+/// peer. The store notifies all nodes at once; fetching immediately would transfer the same
+/// policy between zones again for each node.
+constexpr duration policy_fetch_delay = milliseconds(300);
 
-/// How long a node that has started waits for others before it counts itself as
-/// alone and ready.
-constexpr duration lonely_time = seconds(3);
+/// Time after the start after which a node without peers counts as ready.
+constexpr duration standalone_delay = seconds(3);
 
 }  // namespace
 
@@ -39,7 +37,7 @@
                       succeeded(peers) ? value_of(peers) : endpoint{}, incarnation};
     note_address(out.nodes, self);
     note_link(out.nodes, settings.node.name, true);
-    // Correlations of an earlier process must not be taken for this one's.
+    // A random start keeps correlations distinct from those of an earlier process.
     out.last_id = out.random() >> 16U;
     return out;
 }
@@ -233,7 +231,7 @@
     }
 }
 
-void log_silence(mesh_turn &t)
+void log_silence_changes(mesh_turn &t)
 {
     for (const silence_change &it : silence_changes(t.n.nodes, t.now)) {
         t.out.emplace_back(
@@ -249,7 +247,7 @@
 void members_tick(mesh_turn &t)
 {
     ask_quiet_nodes(t);
-    log_silence(t);
+    log_silence_changes(t);
     if (t.n.policy && t.n.on.zone_plan) {
         t.n.zones = plan_zones(*t.n.policy, t.n.plan.calls, zones_of_services(t.n.nodes, t.now));
     }
@@ -260,7 +258,7 @@
     admission_tick(t);
     stop_tick(t);
     place_waiting_calls(t);
-    if (t.n.newer_policy && t.now - t.n.newer_policy->heard_at >= policy_patience) {
+    if (t.n.newer_policy && t.now - t.n.newer_policy->heard_at >= policy_fetch_delay) {
         mesh_wire::policy_fetch_message message;
         message.version = t.n.newer_policy->version;
         t.out.emplace_back(send_to_node{t.n.newer_policy->node, mesh_frame(message)});
@@ -276,7 +274,7 @@
     bool has_peer = std::any_of(n.nodes.nodes.begin(), n.nodes.nodes.end(), [&](const auto &entry) {
         return entry.second.linked && entry.first != n.settings.node.name;
     });
-    return has_peer || now - n.started_at >= lonely_time;
+    return has_peer || now - n.started_at >= standalone_delay;
 }
 
 std::optional<time_point> next_expiry(const mesh_node &n)
--- a/gullstall/src/mesh/mesh_settings.cpp
+++ b/gullstall/src/mesh/mesh_settings.cpp
@@ -24,11 +24,12 @@
                                   field_rule{"retry_window_s", false, 1, 3600}};
 constexpr std::array log_rules{field_rule{"lines_per_second", false, 1, 100000}};
 
-/// Reads a key that holds an endpoint, for its error alone.
+/// Validates the value of an endpoint key.
 result<done> check_endpoint(const ini_document &document, const std::string &section,
-                            const std::string &key, const std::string &text, bool may_lack = false)
+                            const std::string &key, const std::string &text,
+                            bool is_optional = false)
 {
-    if (text.empty() && may_lack) {
+    if (text.empty() && is_optional) {
         return done{};
     }
     result<endpoint> read = parse_endpoint(text);
@@ -38,16 +39,16 @@
     return done{};
 }
 
-/// A number that may have a fraction, and what it may be.
+/// Key of a decimal number and its allowed range.
 struct decimal_rule
 {
     std::string key;  ///< in section limits
-    double least;
-    double most;
+    double min;
+    double max;
 };
 
-/// Reads a decimal number; a key that is not there keeps its default.
-/// \param text as the file has it; then the number that is in force
+/// Parses a decimal number; a missing key keeps its default.
+/// \param text value in the file; replaced by the effective value
 result<done> read_decimal(const ini_document &document, const decimal_rule &rule, std::string &text,
                           double &out)
 {
@@ -61,11 +62,11 @@
         return at_key(document, "limits", rule.key,
                       error{error_code::wrong_type, "found '" + text + "', expected a number"});
     }
-    if (n < rule.least || n > rule.most) {
+    if (n < rule.min || n > rule.max) {
         return at_key(document, "limits", rule.key,
                       error{error_code::out_of_range, "found " + text + ", allowed " +
-                                                          std::to_string(rule.least) + " to " +
-                                                          std::to_string(rule.most)});
+                                                          std::to_string(rule.min) + " to " +
+                                                          std::to_string(rule.max)});
     }
     out = n;
     text = std::to_string(out);
--- a/gullstall/src/mesh/mesh_settings.hpp
+++ b/gullstall/src/mesh/mesh_settings.hpp
@@ -10,7 +10,7 @@
 
 namespace gullstall::mesh {
 
-/// Effective settings of a node that finds its peers in the platform's store.
+/// Effective settings of a node that discovers its peers through the platform's store.
 struct mesh_settings
 {
     gullstall::mesh_config::node_section_values node;
@@ -25,13 +25,12 @@
     bool operator==(const mesh_settings &) const = default;
 };
 
-/// Reads the settings.
-/// \param name how errors call the text, usually its file
-/// \returns the settings, or an error with file, line, key, what was found and
-/// what is allowed
+/// Parses the settings.
+/// \param name of the text in error messages, usually a file name
+/// \returns the settings, or an error with file, line, key, found value and allowed range
 result<mesh_settings> parse_mesh_settings(const std::string &name, std::string_view text);
 
-/// \returns \a it as INI text, every effective value included
+/// \returns the effective settings as INI text
 std::string print_mesh_settings(const mesh_settings &it);
 
 }  // namespace gullstall::mesh
--- a/gullstall/src/mesh/own_upstream.cpp
+++ b/gullstall/src/mesh/own_upstream.cpp
@@ -6,11 +6,11 @@
 
 namespace {
 
-/// Incarnations that are remembered as gone. A late heartbeat comes within
-/// seconds, and an address is used again after seconds too.
-constexpr std::size_t remembered_gone = 32;
+/// Number of departed incarnations to remember. Delayed heartbeats arrive within seconds,
+/// and addresses are reused within seconds too.
+constexpr std::size_t max_departed = 32;
 
-bool has_gone(const own_upstream &it, const upstream_heartbeat &beat)
+bool has_departed(const own_upstream &it, const upstream_heartbeat &beat)
 {
     return std::any_of(it.gone.begin(), it.gone.end(), [&](const gone_upstream &gone) {
         return gone.upstream == beat.upstream && beat.born <= gone.born;
@@ -29,15 +29,15 @@
 
 heartbeat_verdict take_heartbeat(own_upstream &it, const upstream_heartbeat &beat, time_point now)
 {
-    if (has_gone(it, beat)) {
+    if (has_departed(it, beat)) {
         return heartbeat_verdict::gone;
     }
     if (it.latest && is_outdated(*it.latest, beat)) {
         return heartbeat_verdict::outdated;
     }
-    bool drained_before = it.latest && it.latest->state == mesh_wire::upstream_state::draining &&
-                          it.latest->upstream == beat.upstream && it.latest->born == beat.born;
-    if (beat.state == mesh_wire::upstream_state::draining && !drained_before) {
+    bool was_draining = it.latest && it.latest->state == mesh_wire::upstream_state::draining &&
+                        it.latest->upstream == beat.upstream && it.latest->born == beat.born;
+    if (beat.state == mesh_wire::upstream_state::draining && !was_draining) {
         it.draining_since = now;
     }
     it.latest = beat;
@@ -49,7 +49,7 @@
 {
     bool is_latest = it.latest && it.latest->upstream == upstream;
     it.gone.push_back(gone_upstream{upstream, is_latest ? it.latest->born : unix_ms});
-    if (it.gone.size() > remembered_gone) {
+    if (it.gone.size() > max_departed) {
         it.gone.pop_front();
     }
     if (is_latest) {
--- a/gullstall/src/mesh/own_upstream.hpp
+++ b/gullstall/src/mesh/own_upstream.hpp
@@ -11,30 +11,30 @@
 
 namespace gullstall::mesh {
 
-/// What an upstream says of itself, about once a heartbeat interval.
+/// State that an upstream reports once per heartbeat interval.
 struct upstream_heartbeat
 {
     std::string upstream;  ///< id of the incarnation
     std::string service;
-    std::string address;         ///< where it takes requests, address:port
+    std::string address;         ///< address:port for requests
     std::uint64_t born = 0;      ///< start of the incarnation, Unix milliseconds
-    std::uint64_t sequence = 0;  ///< rises with each heartbeat of an incarnation
+    std::uint64_t sequence = 0;  ///< increases with each heartbeat of an incarnation
     mesh_wire::upstream_state state = mesh_wire::upstream_state::absent;
     std::uint32_t slots = 0;
-    duration cold_for{};  ///< how long it stays slow after its start
+    duration cold_for{};  ///< expected duration of slow responses after the start
 
     bool operator==(const upstream_heartbeat &) const = default;
 };
 
-/// What became of a heartbeat.
+/// Result of processing a heartbeat.
 enum class heartbeat_verdict
 {
-    taken,
-    outdated,  ///< a later one of the incarnation, or a later incarnation, was heard
-    gone       ///< the incarnation has said that it leaves for good
+    taken,     ///< applied
+    outdated,  ///< older than the latest heartbeat or of an earlier incarnation
+    gone       ///< the incarnation has announced its departure
 };
 
-/// Incarnation that has left for good.
+/// Incarnation that has departed.
 struct gone_upstream
 {
     std::string upstream;
@@ -43,9 +43,9 @@
     bool operator==(const gone_upstream &) const = default;
 };
 
-/// What a node knows of the upstream beside it, from its heartbeats alone. A
-/// node that has just started knows none and sends it nothing: it can't tell
-/// whether its previous process was told that the upstream leaves.
+/// State of the local upstream, known from its heartbeats only. After a start no state is
+/// known and no request is dispatched: the previous process may have acknowledged that the
+/// upstream is leaving.
 struct own_upstream
 {
     std::optional<upstream_heartbeat> latest;
@@ -54,16 +54,16 @@
     std::deque<gone_upstream> gone;
 };
 
-/// Takes in a heartbeat.
-/// \param now when it arrived
+/// Processes a heartbeat.
+/// \param now time of arrival
 heartbeat_verdict take_heartbeat(own_upstream &it, const upstream_heartbeat &beat, time_point now);
 
-/// Notes that the incarnation \a upstream leaves for good.
-/// \param unix_ms time of day; an incarnation that was never heard counts as
-/// born by then, so that its late heartbeats don't bring it back
+/// Records the departure of the incarnation \a upstream.
+/// \param unix_ms wall-clock time; assumed as the latest start of an incarnation without a
+/// heartbeat, so that its delayed heartbeats are ignored
 void take_leave(own_upstream &it, const std::string &upstream, std::uint64_t unix_ms);
 
-/// \returns whether requests may be handed to the upstream
+/// \returns whether requests may be dispatched to the upstream
 bool takes_work(const own_upstream &it);
 
 }  // namespace gullstall::mesh
--- a/gullstall/src/mesh/placing.cpp
+++ b/gullstall/src/mesh/placing.cpp
@@ -8,31 +8,31 @@
 
 namespace {
 
-/// By how many times a node whose every call fails looks dearer. A node with
-/// half of its calls failing is so left for one that is three times slower.
+/// Relative cost added at a failure rate of 1. A node with half of its calls failing costs
+/// four times as much, so that a node three times slower is preferred.
 constexpr double failure_cost = 6;
 
-/// Run time that is assumed of an upstream that has not run anything.
+/// Run time assumed if no upstream of the service has reported one.
 constexpr double assumed_run_us = 30000;
 
-/// Share of its slots from which on an upstream counts as busy: a call that comes
-/// then may wait for a slot. Below it calls stay within the zone, since each
-/// crossing costs about 1 ms and money, and a slower upstream costs less.
-constexpr double busy_share = 0.95;
+/// Utilization from which an upstream counts as busy: a further call may wait for a slot.
+/// Below it calls stay within the zone: each crossing costs about 1 ms and traffic fees,
+/// which outweighs a somewhat slower upstream.
+constexpr double spill_utilization = 0.95;
 
-/// Share of failures from which on calls may leave the zone too.
-constexpr double failing_share = 0.2;
+/// Failure rate from which calls may leave the zone.
+constexpr double spill_failure_rate = 0.2;
 
-/// By how many times an upstream of another zone must then look cheaper.
-constexpr double other_zone_cost = 2;
+/// Factor by which an upstream in another zone must then be cheaper.
+constexpr double other_zone_factor = 2;
 
-/// Power of the cost by which calls are drawn: an upstream that looks twice as
-/// dear gets an eighth. The best alone would draw the calls of all nodes until
-/// its next status, and one that was slow once would never be tried again.
-constexpr double cost_power = 3;
+/// Exponent of the inverse cost used as sampling weight: twice the cost gets an eighth of
+/// the calls. Always choosing the cheapest would attract the calls of all nodes until its
+/// next status, and an upstream that was slow once would never be tried again.
+constexpr double cost_exponent = 3;
 
-/// Crossings between zones that must be saved for a call to leave its zone.
-constexpr double least_saving = 0.5;
+/// Zone crossings that a call must save to leave its zone.
+constexpr double min_saved_crossings = 0.5;
 
 bool is_candidate(const node_view &it, const placement_request &wanted, time_point now)
 {
@@ -41,21 +41,22 @@
     return !is_tried && is_usable(it, wanted.service, now);
 }
 
-/// \returns the share of its slots that one more call would find in use or
-/// waited for
-double used_share(const node_view &it)
+/// \returns the utilization including one more call; above 1 calls queue
+double utilization(const node_view &it)
 {
     return (it.status.running + it.status.waiting + it.sent_since + 1.0) / it.status.slots;
 }
 
-/// \returns the time until an answer of one more call, microseconds
-/// \param usual_us run time that is assumed where none is known
-double expected_us(const node_view &it, double usual_us, time_point now, const mesh_switches &on)
+/// \returns the expected response time of one more call in microseconds, weighted by the
+/// failure rate
+/// \param fallback_run_us run time assumed if none is known
+double expected_us(const node_view &it, double fallback_run_us, time_point now,
+                   const mesh_switches &on)
 {
-    double run_us = it.status.run_time_us > 0 ? it.status.run_time_us : usual_us;
-    // Below full the run time counts; the part in use still matters a little,
-    // so that equal upstreams share the calls. Beyond full it is the queue.
-    double used = used_share(it);
+    double run_us = it.status.run_time_us > 0 ? it.status.run_time_us : fallback_run_us;
+    // Below saturation the run time dominates; utilization adds a little, so that equal
+    // upstreams share the calls. Above it the queue dominates.
+    double used = utilization(it);
     double wait = std::max(0.0, used - 1) * run_us;
     double failing = on.failure_cost ? failure_cost * recent_failures(it, now) : 0;
     return (run_us * (1 + used / 2) + wait) * (1 + failing);
@@ -67,10 +68,10 @@
     double cost = 0;
 };
 
-/// Draws one of \a all, the cheaper the likelier.
-candidate draw(const std::vector<candidate> &all, random_source &random, const mesh_switches &on)
+/// Samples one of \a all; cheaper ones are more likely.
+candidate sample(const std::vector<candidate> &all, random_source &random, const mesh_switches &on)
 {
-    double power = on.cost_draw ? cost_power : 0;
+    double power = on.cost_draw ? cost_exponent : 0;
     double total = 0;
     for (const candidate &it : all) {
         total += std::pow(it.cost, -power);
@@ -85,12 +86,11 @@
     return all.empty() ? candidate{} : all.back();
 }
 
-/// \returns how often a call crosses between zones when it goes to \a node, and
-/// the calls of its run after it. A little is added for each other zone, so that
-/// the own one is taken where it is as good.
+/// \returns the zone crossings of a call sent to \a node and of the calls that its run
+/// makes. Another zone carries a surcharge, so that the local one wins ties.
 double crossings_at(const node_view &node, const zone_plan &plan, const placement_request &wanted)
 {
-    constexpr double other_zone = 1 + least_saving;
+    constexpr double other_zone = 1 + min_saved_crossings;
     bool is_own = node.address.zone == wanted.zone;
     return (is_own ? 0 : other_zone) + crossings_below(plan, wanted.route, node.address.zone);
 }
@@ -105,16 +105,16 @@
     return out;
 }
 
-/// \returns whether calls may go to another zone in place of \a near
+/// \returns whether calls may go to another zone instead of \a near
 bool may_leave_zone(const candidate &near, time_point now)
 {
-    return near.node == nullptr || used_share(*near.node) >= busy_share ||
-           recent_failures(*near.node, now) >= failing_share;
+    return near.node == nullptr || utilization(*near.node) >= spill_utilization ||
+           recent_failures(*near.node, now) >= spill_failure_rate;
 }
 
-/// \returns the run time of an upstream that has not told one: the shortest of
-/// its service, so that a new one is tried soon
-double usual_run_us(const std::vector<const node_view *> &all)
+/// \returns the run time assumed of an upstream that has reported none: the shortest of
+/// its service, so that a new upstream is tried soon
+double fallback_run_time_us(const std::vector<const node_view *> &all)
 {
     double out = 0;
     for (const node_view *it : all) {
@@ -135,19 +135,20 @@
             usable.push_back(&view);
         }
     }
-    double usual_us = usual_run_us(usable);
+    double fallback_run_us = fallback_run_time_us(usable);
     double fewest = fewest_crossings(usable, plan, wanted);
     std::vector<candidate> near;
     std::vector<candidate> far;
     for (const node_view *view : usable) {
         bool is_near =
-            !on.own_zone_first || crossings_at(*view, plan, wanted) < fewest + least_saving;
-        (is_near ? near : far).push_back(candidate{view, expected_us(*view, usual_us, now, on)});
+            !on.own_zone_first || crossings_at(*view, plan, wanted) < fewest + min_saved_crossings;
+        (is_near ? near : far)
+            .push_back(candidate{view, expected_us(*view, fallback_run_us, now, on)});
     }
-    candidate best = draw(near, random, on);
+    candidate best = sample(near, random, on);
     if (may_leave_zone(best, now)) {
-        candidate other = draw(far, random, on);
-        bool is_better = best.node == nullptr || other.cost * other_zone_cost < best.cost;
+        candidate other = sample(far, random, on);
+        bool is_better = best.node == nullptr || other.cost * other_zone_factor < best.cost;
         best = other.node != nullptr && is_better ? other : best;
     }
     return best.node == nullptr ? std::string() : best.node->address.node;
--- a/gullstall/src/mesh/placing.hpp
+++ b/gullstall/src/mesh/placing.hpp
@@ -10,17 +10,17 @@
 
 namespace gullstall::mesh {
 
-/// What a call needs of an upstream.
+/// Requirements of a call on the node that it is sent to.
 struct placement_request
 {
     std::string service;
-    std::string zone;                ///< of the asking node
-    std::vector<std::string> tried;  ///< nodes that are not to be asked again
-    std::string route;               ///< by which the call goes
+    std::string zone;                ///< of the sending node
+    std::vector<std::string> tried;  ///< nodes that are excluded
+    std::string route;               ///< route of the call
 };
 
-/// Chooses the node to send a call to.
-/// \returns the node's name, empty when no upstream is known to take it
+/// Selects the node to send a call to.
+/// \returns the name of the node, empty if no usable one is known
 std::string choose_node(const directory &it, const zone_plan &plan, const placement_request &wanted,
                         random_source &random, time_point now, const mesh_switches &on = {});
 
--- a/gullstall/src/mesh/serve.cpp
+++ b/gullstall/src/mesh/serve.cpp
@@ -9,15 +9,15 @@
 
 namespace {
 
-/// Time beyond the deadline in which the upstream may say by itself that it has
-/// stopped. It knows whether the request ran; the node does not.
+/// Grace period after the deadline in which the upstream may report the timeout itself. It
+/// knows whether the request ran; the node does not.
 constexpr duration answer_grace = milliseconds(100);
 
-/// Shortest time left with which a request is handed over.
-constexpr duration least_left = milliseconds(5);
+/// Minimum time left for a request to be dispatched.
+constexpr duration min_time_left = milliseconds(5);
 
-/// How long an upstream that refused a connection gets nothing.
-constexpr duration down_time = milliseconds(300);
+/// Back-off after the upstream refused a connection.
+constexpr duration connect_backoff = milliseconds(300);
 
 void send_reply(mesh_turn &t, link_ref link, mesh_wire::reply_message &&reply)
 {
@@ -49,7 +49,7 @@
     send_reply(t, link, std::move(reply));
 }
 
-/// Takes the run out of all tables; its slot is not touched.
+/// Removes the run from all tables without releasing its slot.
 gate_call forget_run(mesh_turn &t, run_ref id, bool ended_well = false)
 {
     auto found = t.n.runs.find(id);
@@ -63,7 +63,7 @@
     return run;
 }
 
-void hand_over(mesh_turn &t, run_ref id)
+void dispatch_run(mesh_turn &t, run_ref id)
 {
     gate_call &run = t.n.runs.at(id);
     run.started_at = t.now;
@@ -75,7 +75,7 @@
     note_latency(t.n.latencies.queue_wait, t.now - run.arrived_at);
     t.out.emplace_back(
         start_run{id, std::move(run.call), t.n.upstream.latest->upstream, run.deadline - t.now});
-    // What identifies the call is still needed here.
+    // The fields needed for the reply, the log and the call chain are kept.
     const mesh_wire::call_message &moved = std::get<start_run>(t.out.back()).call;
     run.call.correlation = moved.correlation;
     run.call.request_id = moved.request_id;
@@ -87,8 +87,8 @@
     run.call.share_milli = moved.share_milli;
 }
 
-/// \returns why the node does not take the call at all
-std::optional<reason> reason_to_refuse(const mesh_turn &t, const mesh_wire::call_message &call)
+/// \returns the reason to refuse the call regardless of load, if any
+std::optional<reason> refusal_reason(const mesh_turn &t, const mesh_wire::call_message &call)
 {
     if (t.n.gate_closed) {
         return reason::stopping;
@@ -108,9 +108,9 @@
     return std::nullopt;
 }
 
-/// Takes off the time that the frame was under way. A frame can lie in a cut
-/// connection for seconds; the request's caller has given up by then, and the
-/// upstream would work on it with time that is long gone.
+/// \returns the time left, less the transit time of the frame. A network cut can delay a
+/// frame by seconds. The caller has timed out by then, and the upstream would run the
+/// request with time that has already passed.
 duration time_left(mesh_turn &t, link_ref link, const mesh_wire::call_message &call)
 {
     auto left = duration(static_cast<std::int64_t>(call.left_us));
@@ -124,9 +124,9 @@
     return left - duration(offset - known->second.least_offset_us);
 }
 
-/// Breaks off what nobody waits for. A non-idempotent run that has started goes
-/// on, so that it ends whole.
-void break_off(mesh_turn &t, run_ref id)
+/// Cancels a run whose reply is no longer awaited. A non-idempotent run that has started
+/// continues, so that it completes.
+void cancel_unawaited(mesh_turn &t, run_ref id)
 {
     gate_call &run = t.n.runs.at(id);
     if (!run.started_at) {
@@ -143,7 +143,7 @@
     give_back_slot(t.n.gate, std::nullopt);
 }
 
-mesh_wire::reply_message reply_of(const gate_call &run, run_result &result)
+mesh_wire::reply_message make_reply(const gate_call &run, run_result &result)
 {
     mesh_wire::reply_message out;
     out.correlation = run.call.correlation;
@@ -181,8 +181,8 @@
 void start_waiting(mesh_turn &t)
 {
     while (std::optional<run_ref> next = next_run(t.n.gate)) {
-        if (t.n.runs.at(*next).deadline - t.now >= least_left) {
-            hand_over(t, *next);
+        if (t.n.runs.at(*next).deadline - t.now >= min_time_left) {
+            dispatch_run(t, *next);
             continue;
         }
         give_back_slot(t.n.gate, std::nullopt);
@@ -212,18 +212,18 @@
 void take_call(mesh_turn &t, link_ref link, mesh_wire::call_message &&call)
 {
     duration left = time_left(t, link, call);
-    if (std::optional<reason> why = reason_to_refuse(t, call)) {
+    if (std::optional<reason> why = refusal_reason(t, call)) {
         refuse(t, link, call, *why);
         return;
     }
-    if (left < least_left) {
+    if (left < min_time_left) {
         ++t.n.counters.stale_frames;
         refuse(t, link, call, reason::too_late);
         return;
     }
     note_arrival(t.n.demand, call.root, call.share_milli / share_scale);
     run_ref id{++t.n.last_id};
-    // What was under way is taken off here too.
+    // The transit time is deducted here too.
     time_point due = t.now + duration(call.due_us) + (left - duration(call.left_us));
     gate_request request{id, call.priority, call.inner, left, due, due <= t.now};
     if (!t.n.on.gate_order) {
@@ -249,7 +249,7 @@
     t.n.run_expiry.emplace(run.expires, id);
     t.n.runs.emplace(id, std::move(run));
     if (verdict == gate_verdict::start) {
-        hand_over(t, id);
+        dispatch_run(t, id);
     }
 }
 
@@ -259,7 +259,7 @@
     if (found == t.n.served.end()) {
         return;
     }
-    break_off(t, found->second);
+    cancel_unawaited(t, found->second);
     start_waiting(t);
 }
 
@@ -267,7 +267,7 @@
 {
     auto found = t.n.runs.find(id);
     if (found == t.n.runs.end()) {
-        return;  // broken off before
+        return;  // already cancelled
     }
     duration held = t.now - found->second.started_at.value_or(t.now);
     bool answered = result.end == run_end::answered;
@@ -278,7 +278,7 @@
     note_latency(t.n.latencies.run, held);
     note_shed(t.n.gate, result.end == run_end::not_executed);
     if (result.end == run_end::not_sent) {
-        t.n.upstream_down_until = t.now + down_time;
+        t.n.upstream_down_until = t.now + connect_backoff;
     }
     if (!answered) {
         t.out.emplace_back(write_line{write_line::severity::info,
@@ -295,7 +295,7 @@
                                        {"slots", std::to_string(t.n.gate.slots)}}});
     }
     if (!run.abandoned) {
-        send_reply(t, run.link, reply_of(run, result));
+        send_reply(t, run.link, make_reply(run, result));
     }
     start_waiting(t);
 }
@@ -335,7 +335,7 @@
     }
     for (run_ref id : lost) {
         t.n.runs.at(id).abandoned = true;
-        break_off(t, id);
+        cancel_unawaited(t, id);
     }
     start_waiting(t);
 }
--- a/gullstall/src/mesh/stop.cpp
+++ b/gullstall/src/mesh/stop.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-/// \returns the other upstreams of the own service that go on to take work
+/// \returns the number of other upstreams of the local service that keep accepting work
 std::size_t others_staying(const mesh_turn &t)
 {
     const auto &self = t.n.settings.node;
@@ -60,7 +60,7 @@
     if (!n.entry_closes_at || now < *n.entry_closes_at) {
         return true;
     }
-    // A gate that is held open keeps the process alive: what ends in time can be taken.
+    // While the gate is held open, requests that finish before the process exits are accepted.
     return !n.gate_closed && (now < n.stop.held_entry || expires <= n.stop.answered);
 }
 
--- a/gullstall/src/mesh/stop_order.cpp
+++ b/gullstall/src/mesh/stop_order.cpp
@@ -7,55 +7,55 @@
 
 namespace {
 
-/// How long the gate stays open after the order to stop. Callers send for about
-/// as long, until they see that the node is not ready; closed at once, the
-/// upstream would stand idle for as long as the stop takes.
-constexpr duration gate_notice = milliseconds(2000);
-
-/// How long callers' requests are taken after the order to stop. The platform
-/// asks once a second whether the node is ready and takes it out after two
-/// misses; until then callers send over the connections that they have.
-constexpr duration entry_notice = milliseconds(2300);
-
-/// Part of the time for a stop that both notices take at most: the rest is for
-/// what is in flight.
-constexpr int notice_part = 2;
-
-/// Part of the time for a stop, and least number of runs, that fit between the latest
-/// close of the gate and the end of the process.
-constexpr int last_runs_part = 4;
-constexpr int last_runs = 4;
-
-/// Time before the kill by which callers must have their answers.
-constexpr duration last_answers = milliseconds(500);
-
-/// A node that was heard this long ago may be about to come back from a restart.
-constexpr duration return_time = seconds(5);
-
-/// The order in which nodes that are to stop close their gates. By hash, so that
-/// neighbours in name, which often share a zone, do not go together.
-std::pair<std::uint64_t, std::string> place_in_order(const std::string &node)
+/// Time that the gate stays open after the stop signal. Callers keep sending for about as
+/// long, until they see that the node is not ready; if the gate closed at once, the upstream
+/// would idle for the rest of the shutdown.
+constexpr duration gate_close_delay = milliseconds(2000);
+
+/// Time that callers' requests are accepted after the stop signal. The platform probes the
+/// readiness once a second and removes a node after two failed probes; until then callers
+/// send over their open connections.
+constexpr duration entry_close_delay = milliseconds(2300);
+
+/// Divisor of the stop time that bounds both delays; the rest is left for requests in
+/// flight.
+constexpr int delay_divisor = 2;
+
+/// Time reserved between the latest close of the gate and the end of the process: this part
+/// of the stop time, or this number of mean run times if that is longer.
+constexpr int final_runs_divisor = 4;
+constexpr int final_runs = 4;
+
+/// Margin before SIGKILL by which callers must have their responses.
+constexpr duration response_margin = milliseconds(500);
+
+/// A node heard from within this time may be restarting.
+constexpr duration restart_window = seconds(5);
+
+/// \returns the sort key of the stop order. It is hashed so that nodes with adjacent names,
+/// which often share a zone, do not stop together.
+std::pair<std::uint64_t, std::string> stop_order_key(const std::string &node)
 {
     return {hash_text(node), node};
 }
 
-bool goes_before(const node_view &it, const std::string &own)
+bool stops_before(const node_view &it, const std::string &own)
 {
-    return it.status.stop_asked && place_in_order(it.address.node) < place_in_order(own);
+    return it.status.stop_asked && stop_order_key(it.address.node) < stop_order_key(own);
 }
 
 }  // namespace
 
 stop_times plan_stop(time_point now, duration stop_time, duration run_time)
 {
-    duration most = stop_time / notice_part;
-    duration for_last_runs = std::max(stop_time / last_runs_part, last_runs * run_time);
+    duration max_delay = stop_time / delay_divisor;
+    duration final_runs_time = std::max(stop_time / final_runs_divisor, final_runs * run_time);
     stop_times out;
-    out.gate_from = now + std::min(gate_notice, most);
-    out.gate_by = std::max(out.gate_from, now + stop_time - for_last_runs);
-    out.entry = now + std::min(entry_notice, most);
-    out.held_entry = now + most;
-    out.answered = now + stop_time - last_answers;
+    out.gate_from = now + std::min(gate_close_delay, max_delay);
+    out.gate_by = std::max(out.gate_from, now + stop_time - final_runs_time);
+    out.entry = now + std::min(entry_close_delay, max_delay);
+    out.held_entry = now + max_delay;
+    out.answered = now + stop_time - response_margin;
     return out;
 }
 
@@ -65,7 +65,7 @@
     return static_cast<std::size_t>(
         std::count_if(it.nodes.begin(), it.nodes.end(), [&](const auto &entry) {
             return entry.first != own && is_usable(entry.second, service, now) &&
-                   !goes_before(entry.second, own);
+                   !stops_before(entry.second, own);
         }));
 }
 
@@ -75,7 +75,7 @@
     std::size_t usable = 0;
     std::size_t others = 0;
     for (const auto &[name, view] : it.nodes) {
-        bool is_recent = view.status.service == service && now - view.status_at <= return_time;
+        bool is_recent = view.status.service == service && now - view.status_at <= restart_window;
         usable += is_usable(view, service, now) ? 1 : 0;
         others += name != own && is_recent ? 1 : 0;
     }
--- a/gullstall/src/mesh/stop_order.hpp
+++ b/gullstall/src/mesh/stop_order.hpp
@@ -8,31 +8,31 @@
 
 namespace gullstall::mesh {
 
-/// Times of a stop. The gate closes between its two, as soon as the other upstreams of the
-/// service suffice.
+/// Schedule of a shutdown. The gate closes between gate_from and gate_by, as soon as enough
+/// other upstreams of the service remain.
 struct stop_times
 {
     time_point gate_from{};
     time_point gate_by{};
-    time_point entry{};       ///< all callers' requests are taken until then
-    time_point held_entry{};  ///< the same, while the gate is held open
-    time_point answered{};    ///< what is taken must have its answer by then
+    time_point entry{};       ///< end of accepting callers' requests
+    time_point held_entry{};  ///< the same while the gate is held open
+    time_point answered{};    ///< deadline for responses to accepted requests
 
     bool operator==(const stop_times &) const = default;
 };
 
-/// \param stop_time from the order to stop to the kill
-/// \param run_time usual time of a run, zero when it is not known
+/// \param stop_time time from SIGTERM to SIGKILL
+/// \param run_time mean time of a run, zero if unknown
 stop_times plan_stop(time_point now, duration stop_time, duration run_time);
 
-/// \returns the upstreams of \a service that go on to take work when \a own closes its
-/// gate. Of nodes that are to stop too, those that come before \a own close theirs first;
-/// all nodes agree on that order.
+/// \returns the number of upstreams of \a service that keep accepting work when \a own
+/// closes its gate. Stopping nodes that precede \a own in the stop order, which is the same
+/// on all nodes, are excluded.
 std::size_t count_staying(const directory &it, const std::string &own, const std::string &service,
                           time_point now);
 
-/// \returns how many other upstreams of the service must stay for \a own to close its gate;
-/// none when there is no other that could take its place
+/// \returns the number of other upstreams of the service required before \a own closes its
+/// gate; 0 if no other node could replace it
 std::size_t least_staying(const directory &it, const std::string &own, const std::string &service,
                           time_point now);
 
--- a/gullstall/src/mesh/upstream_news.cpp
+++ b/gullstall/src/mesh/upstream_news.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Brings the gate in line with what the upstream's heartbeats say.
+/// Updates the gate to the state reported by the upstream.
 void sync_gate(mesh_turn &t)
 {
     if (takes_work(t.n.upstream)) {
@@ -27,14 +27,14 @@
         return verdict;
     }
     bool is_new = !before || before->upstream != beat.upstream || before->born != beat.born;
-    bool has_turned = is_new || before->state != beat.state;
+    bool has_changed = is_new || before->state != beat.state;
     t.n.upstream_down_until = time_point{};
     if (is_new) {
         t.n.gate.run_us = 0;
         t.out.emplace_back(upstream_replaced{});
     }
     sync_gate(t);
-    if (has_turned) {
+    if (has_changed) {
         t.out.emplace_back(write_line{write_line::severity::info,
                                       "upstream",
                                       "upstream-state",
