--- a/test/unit/mesh_chain.cpp
+++ b/test/unit/mesh_chain.cpp
@@ -11,7 +11,7 @@
     mesh::call_chain chain;
     std::uint64_t last = 0;
 
-    /// A run of "list" that makes \a calls calls before it ends.
+    /// Simulates a run of route "list" that makes \a calls calls.
     void run(int calls, bool ended_well)
     {
         run_ref id{++last};
@@ -26,10 +26,10 @@
 
 }  // namespace
 
-// Story: the deep service turns half of its calls away. Runs of lists end at the first
-// call that fails, so a list seems to need two calls of it in place of eight, and lists
-// are let in that have no chance.
-TEST_CASE_FIXTURE(chain_fixture, "chain, many runs end at a failed call, keeps its length")
+// Guards against learning too few calls per run from failed runs. A run stops at its first
+// failing call; with half of the calls shed, a list would appear to need two calls instead
+// of eight, and lists that cannot succeed would be admitted.
+TEST_CASE_FIXTURE(chain_fixture, "call chain: failed runs do not shorten the learned chain")
 {
     for (int i = 0; i < 30; ++i) {
         run(8, true);
@@ -42,8 +42,7 @@
     CHECK(calls->at("deep") == doctest::Approx(8));
 }
 
-TEST_CASE_FIXTURE(chain_fixture,
-                  "chain, new version of an upstream, is learned in some hundred runs")
+TEST_CASE_FIXTURE(chain_fixture, "call chain: changed calls are learned within a few hundred runs")
 {
     for (int i = 0; i < 400; ++i) {
         run(8, true);
--- a/test/unit/mesh_path.cpp
+++ b/test/unit/mesh_path.cpp
@@ -8,9 +8,9 @@
 
 namespace {
 
-constexpr duration plenty = seconds(5);
+constexpr duration long_deadline = seconds(5);
 
-/// Two zones with two nodes of one service each, and one of another service.
+/// Three nodes of one service in two zones, and one node of another service.
 struct mesh_path_fixture
 {
     test::mesh_world w{2026};
@@ -28,8 +28,8 @@
         w.run_for(seconds(1));
     }
 
-    const test::caller_result &ask(const std::string &node, const std::string &id,
-                                   const std::string &path, duration left = plenty)
+    const test::caller_result &run_request(const std::string &node, const std::string &id,
+                                           const std::string &path, duration left = long_deadline)
     {
         w.request(node, id, path, left);
         w.run_for(left + milliseconds(200));
@@ -39,33 +39,33 @@
 
 }  // namespace
 
-TEST_CASE_FIXTURE(mesh_path_fixture, "request, upstream beside another node, is answered")
+TEST_CASE_FIXTURE(mesh_path_fixture, "request: answered by the upstream of another node")
 {
-    CHECK(ask("p1", "r1", "/read/x").status == 200);
+    CHECK(run_request("p1", "r1", "/read/x").status == 200);
     CHECK(w.runs_of("r1") == 1);
 }
 
-TEST_CASE_FIXTURE(mesh_path_fixture, "request, no route, is told so")
+TEST_CASE_FIXTURE(mesh_path_fixture, "request: 404 without a route")
 {
-    CHECK(ask("p1", "r1", "/unknown/x").status == 404);
+    CHECK(run_request("p1", "r1", "/unknown/x").status == 404);
 }
 
-TEST_CASE_FIXTURE(mesh_path_fixture, "requests at even load, upstreams near, stay in the zone")
+TEST_CASE_FIXTURE(mesh_path_fixture, "load balancing: requests stay in the zone under light load")
 {
     for (int i = 0; i < 100; ++i) {
-        ask("p1", "r" + std::to_string(i), "/read/x", milliseconds(100));
+        run_request("p1", "r" + std::to_string(i), "/read/x", milliseconds(100));
     }
     auto far = std::count_if(w.runs.begin(), w.runs.end(),
                              [](const test::upstream_run &it) { return it.node == "b1"; });
     CHECK(far == 0);
 }
 
-// Story: an upstream says that it drains. Calls that reach it later are lost when
-// it ends. Its node closes the gate at once, and the others place elsewhere.
-TEST_CASE_FIXTURE(mesh_path_fixture, "draining upstream, calls under way, gets none of them")
+// Guards against dispatching to a draining upstream, which loses such calls when it exits. Its
+// node closes the gate at once, and other nodes send their calls elsewhere.
+TEST_CASE_FIXTURE(mesh_path_fixture, "draining upstream: receives no call in flight")
 {
     for (int i = 0; i < 20; ++i) {
-        w.request("p1", "r" + std::to_string(i), "/order/x", plenty);
+        w.request("p1", "r" + std::to_string(i), "/order/x", long_deadline);
     }
     w.beat("a1", upstream_state::draining);
     time_point drained_at = w.now;
@@ -78,22 +78,21 @@
     }
 }
 
-// Story: a node's process is killed after it acknowledged that its upstream
-// drains. The new process knows nothing of it, and would hand requests to an
-// upstream that ends at any moment.
-TEST_CASE_FIXTURE(mesh_path_fixture, "node started again, no heartbeat yet, hands over nothing")
+// Guards against dispatching to a draining upstream after a restart. A process killed after it
+// acknowledged the draining is replaced by one that does not know of it.
+TEST_CASE_FIXTURE(mesh_path_fixture, "restarted node: dispatches nothing before a heartbeat")
 {
     w.beat("p1", upstream_state::draining);
     w.start("p1", "a");
-    CHECK(ask("p1", "r1", "/photo/x").status == 503);
+    CHECK(run_request("p1", "r1", "/photo/x").status == 503);
     CHECK(w.runs_of("r1") == 0);
     w.beat("p1", upstream_state::ready);
-    CHECK(ask("p1", "r2", "/photo/x").status == 200);
+    CHECK(run_request("p1", "r2", "/photo/x").status == 200);
 }
 
-// Story: a heartbeat that lay in a cut arrives after a later one of the same
-// incarnation has said that it drains, or after it has left.
-TEST_CASE_FIXTURE(mesh_path_fixture, "late heartbeat, upstream has left, does not bring it back")
+// Guards against a delayed heartbeat reviving an upstream: it arrives after a later heartbeat of
+// the same incarnation reported draining, or after the upstream left.
+TEST_CASE_FIXTURE(mesh_path_fixture, "delayed heartbeat: does not revive a departed upstream")
 {
     mesh::own_upstream own;
     mesh::upstream_heartbeat beat{"u", "books", "", 100, 5, upstream_state::ready, 10, {}};
@@ -112,10 +111,9 @@
     CHECK(takes_work(own));
 }
 
-// Story: the connection between two nodes falls silent with a call in it. The
-// caller is told that the outcome is unknown. Seconds later the call comes out
-// of the cut; it must not run with time that has passed long ago.
-TEST_CASE_FIXTURE(mesh_path_fixture, "call held in a cut, its time over, does not run")
+// Guards against running a call after its deadline. A network cut delays the frame by seconds;
+// by the time it arrives, the caller has been told that the outcome is unknown.
+TEST_CASE_FIXTURE(mesh_path_fixture, "delayed call: does not run after its deadline")
 {
     w.cuts = {{"a1", "p1"}, {"p1", "a1"}};
     w.request("a1", "r1", "/photo/x", seconds(2));
@@ -126,7 +124,7 @@
     CHECK(w.runs_of("r1") == 0);
 }
 
-TEST_CASE_FIXTURE(mesh_path_fixture, "call held in a cut, age of frames ignored, runs late")
+TEST_CASE_FIXTURE(mesh_path_fixture, "delayed call: runs late if the frame age is ignored")
 {
     w.nodes.at("p1").on.age_of_frames = false;
     w.cuts = {{"a1", "p1"}, {"p1", "a1"}};
@@ -138,12 +136,13 @@
     CHECK(w.runs.back().left > milliseconds(1500));
 }
 
-// Story: the connection breaks after a call that must not run twice has left.
-// Nobody knows whether it ran, so it is neither sent again nor called not run.
-TEST_CASE_FIXTURE(mesh_path_fixture, "connection broken, call not idempotent, is unknown")
+// Guards against retrying a non-idempotent call after its connection broke. Whether it ran is
+// unknown, so that it is neither retried nor reported as not run.
+TEST_CASE_FIXTURE(mesh_path_fixture,
+                  "broken connection: non-idempotent call has an unknown outcome")
 {
     w.upstreams["p1"].run_time = milliseconds(500);
-    w.request("a1", "r1", "/photo/x", plenty);
+    w.request("a1", "r1", "/photo/x", long_deadline);
     w.run_for(milliseconds(100));
     w.break_links("a1", "p1");
     w.run_for(seconds(2));
@@ -151,25 +150,25 @@
     CHECK(w.runs_of("r1") == 1);
 }
 
-// Story: an upstream turns a call away. It has not run, so that another may take
-// it; after the last attempt the caller learns that it can come again.
-TEST_CASE_FIXTURE(mesh_path_fixture, "upstream sheds, call not idempotent, is refused truthfully")
+// Guards against reporting a shed call as failed. It has not run, so that another upstream may
+// run it; after the last attempt the caller receives a refusal with a retry time.
+TEST_CASE_FIXTURE(mesh_path_fixture, "shed call: non-idempotent call is refused as not run")
 {
     w.upstreams["p1"].shed = 1;
-    const test::caller_result &result = ask("a1", "r1", "/photo/x");
+    const test::caller_result &result = run_request("a1", "r1", "/photo/x");
     CHECK(result.status == 503);
     CHECK(result.why == reason::shed);
     REQUIRE(result.retry_after);
-    CHECK(*result.retry_after <= plenty / 3);
+    CHECK(*result.retry_after <= long_deadline / 3);
 }
 
-// Story: the caller closes its connection while its request waits for a slot at
-// another node. Without word of it the request would run for nobody.
-TEST_CASE_FIXTURE(mesh_path_fixture, "caller leaves, request waits elsewhere, never runs")
+// Guards against running abandoned requests: the caller closes its connection while its request
+// is queued at another node.
+TEST_CASE_FIXTURE(mesh_path_fixture, "abandoned request: does not run if queued at another node")
 {
     w.upstreams["p1"].run_time = milliseconds(300);
     for (int i = 0; i < 30; ++i) {
-        w.request("a1", "r" + std::to_string(i), "/photo/x", plenty);
+        w.request("a1", "r" + std::to_string(i), "/photo/x", long_deadline);
     }
     w.run_for(milliseconds(50));
     for (int i = 0; i < 30; ++i) {
@@ -179,7 +178,7 @@
     CHECK(w.runs.size() < 15);
 }
 
-TEST_CASE_FIXTURE(mesh_path_fixture, "older policy, newer in force, is not taken")
+TEST_CASE_FIXTURE(mesh_path_fixture, "policy: an older version is rejected")
 {
     bool taken = true;
     w.step("a1", [&](mesh::mesh_turn &t) {
@@ -189,12 +188,12 @@
     CHECK(w.nodes.at("a1").policy->version == 3);
 }
 
-// Story: the operator shortens a route's timeout while requests are in flight.
-// They are to have an answer by the new timeout.
-TEST_CASE_FIXTURE(mesh_path_fixture, "timeout shortened, request in flight, ends by the new one")
+// Guards against requests in flight that keep the old timeout after the operator has shortened
+// the timeout of their route.
+TEST_CASE_FIXTURE(mesh_path_fixture, "shortened timeout: applies to requests in flight")
 {
     w.upstreams["p1"].run_time = seconds(4);
-    w.request("a1", "r1", "/photo/x", plenty);
+    w.request("a1", "r1", "/photo/x", long_deadline);
     w.run_for(milliseconds(100));
     traffic_policy shorter = w.policy;
     shorter.version = 4;
@@ -204,30 +203,30 @@
     CHECK(w.results.at("r1").status == 504);
 }
 
-// Story: a node is stopped while its upstream lives on. For two seconds its
-// gate stays open, so that the upstream does not stand idle; then it takes nothing
-// more, and what it refuses runs elsewhere.
-TEST_CASE_FIXTURE(mesh_path_fixture, "stopping node, call to its upstream, is placed elsewhere")
+// Guards against lost calls and an idle upstream when only the node is stopped. The gate stays
+// open for two seconds, so that the upstream is not idle; calls refused later run elsewhere.
+TEST_CASE_FIXTURE(mesh_path_fixture, "stopping node: calls to its upstream are sent elsewhere")
 {
     w.step("a1", [](mesh::mesh_turn &t) { stop_node(t); });
     CHECK(serves(w.nodes.at("a1"), w.now));
     w.run_for(milliseconds(2200));
     CHECK_FALSE(serves(w.nodes.at("a1"), w.now));
     for (int i = 0; i < 20; ++i) {
-        CHECK(ask("p1", "r" + std::to_string(i), "/order/x", milliseconds(200)).status == 200);
+        CHECK(run_request("p1", "r" + std::to_string(i), "/order/x", milliseconds(200)).status ==
+              200);
     }
     CHECK_FALSE(is_ready(w.nodes.at("a1"), w.now));
 }
 
-// Story: callers go on sending to a node that stops, since too few others of its
-// zone are ready. A request that it takes in its last second is cut off when the
-// process ends. It is refused, and has not run.
-TEST_CASE_FIXTURE(mesh_path_fixture, "request long after the order to stop, is refused")
+// Guards against requests cut off at the end of the process. Callers keep sending to a stopping
+// node if too few others in its zone are ready; a request in its last second must be refused
+// without being run.
+TEST_CASE_FIXTURE(mesh_path_fixture, "stopping node: late requests are refused")
 {
     w.step("p1", [](mesh::mesh_turn &t) { stop_node(t); });
-    CHECK(ask("p1", "r1", "/read/x", milliseconds(500)).status == 200);
+    CHECK(run_request("p1", "r1", "/read/x", milliseconds(500)).status == 200);
     w.run_for(seconds(2));
-    const test::caller_result &result = ask("p1", "r2", "/read/x", milliseconds(500));
+    const test::caller_result &result = run_request("p1", "r2", "/read/x", milliseconds(500));
     CHECK(result.status == 503);
     CHECK(result.why == reason::stopping);
     CHECK(w.runs_of("r2") == 0);
@@ -235,13 +234,13 @@
 
 namespace {
 
-/// Calls that cross to zone b are asked for evenly while the link to it is cut
-/// off in silence, and its connection still looks open.
-struct silent_cut_fixture
+/// Sends a steady load across zones while the link to zone b drops all frames without a
+/// reset, so that its connection still appears open.
+struct silent_link_fixture
 {
     test::mesh_world w{11};
 
-    silent_cut_fixture()
+    silent_link_fixture()
     {
         w.policy = test::policy_of(
             1, {test::route_of("read", "/read/", "books", repeatability::idempotent)});
@@ -251,20 +250,20 @@
         w.run_for(seconds(1));
     }
 
-    /// \returns calls that were sent into the cut
-    std::size_t play(bool ask)
+    /// \returns the number of calls sent over the dropping link
+    std::size_t run_cut(bool probes)
     {
-        w.nodes.at("a1").on.ask_quiet_nodes = ask;
+        w.nodes.at("a1").on.ask_quiet_nodes = probes;
         w.cuts = {{"a1", "b1"}, {"b1", "a1"}};
         for (int i = 0; i < 300; ++i) {
             w.at(w.now + milliseconds(5 * i),
-                 [this, i] { w.request("a1", "r" + std::to_string(i), "/read/x", plenty); });
+                 [this, i] { w.request("a1", "r" + std::to_string(i), "/read/x", long_deadline); });
         }
         w.run_for(milliseconds(1550));
         return w.nodes.at("a1").nodes.nodes.at("b1").in_flight;
     }
 
-    auto lines_of(const std::string &event) const
+    auto count_lines(const std::string &event) const
     {
         return std::count_if(w.lines.begin(), w.lines.end(),
                              [&](const mesh::write_line &it) { return it.event == event; });
@@ -273,34 +272,33 @@
 
 }  // namespace
 
-// Story: a zone is cut off without a reset. Until the connections into it count
-// as lost, 1.6 s later, half of all calls go there, and end without an answer
-// that anybody could trust. The node asks one that it does not hear, and sends it
-// nothing until it is heard again.
-TEST_CASE_FIXTURE(silent_cut_fixture, "node cut off in silence, asked in vain, gets no more calls")
+// Guards against sending calls to a zone that is cut off without a reset. Until its connections
+// time out after 1.6 s, half of all calls would go there and end with an unknown outcome. The
+// node probes unresponsive peers and sends them no calls until they respond.
+TEST_CASE_FIXTURE(silent_link_fixture, "unresponsive node: gets no calls after a failed probe")
 {
-    std::size_t into_cut = play(true);
+    std::size_t into_cut = run_cut(true);
     MESSAGE("calls sent into the cut: " << into_cut);
     CHECK(into_cut < 55);
 }
 
-TEST_CASE_FIXTURE(silent_cut_fixture, "node cut off in silence, not asked, gets half of all calls")
+TEST_CASE_FIXTURE(silent_link_fixture, "unresponsive node: gets half of all calls without probes")
 {
-    CHECK(play(false) > 120);
+    CHECK(run_cut(false) > 120);
 }
 
-TEST_CASE_FIXTURE(silent_cut_fixture, "node cut off in silence, heard again, gets calls again")
+TEST_CASE_FIXTURE(silent_link_fixture, "unresponsive node: gets calls again once it responds")
 {
-    play(true);
-    CHECK(lines_of("node-silent") == 1);
-    CHECK(lines_of("node-heard") == 0);
+    run_cut(true);
+    CHECK(count_lines("node-silent") == 1);
+    CHECK(count_lines("node-heard") == 0);
     w.cuts.clear();
     w.run_for(milliseconds(200));
-    CHECK(lines_of("node-silent") == 1);
-    CHECK(lines_of("node-heard") == 1);
+    CHECK(count_lines("node-silent") == 1);
+    CHECK(count_lines("node-heard") == 1);
     std::size_t before = w.runs.size();
     for (int i = 0; i < 100; ++i) {
-        w.request("a1", "s" + std::to_string(i), "/read/x", plenty);
+        w.request("a1", "s" + std::to_string(i), "/read/x", long_deadline);
         w.run_for(milliseconds(20));
     }
     auto at_b = std::count_if(w.runs.begin() + static_cast<std::ptrdiff_t>(before), w.runs.end(),
--- a/test/unit/mesh_settings.cpp
+++ b/test/unit/mesh_settings.cpp
@@ -12,15 +12,15 @@
     "control = 127.0.0.1:4\nmetrics = 127.0.0.1:5\n"
     "[store]\nendpoint = 127.0.0.1:6\n";
 
-result<mesh::mesh_settings> read_limits(const std::string &lines)
+result<mesh::mesh_settings> parse_limits(const std::string &lines)
 {
     return mesh::parse_mesh_settings("s.ini", head + "[limits]\n" + lines);
 }
 
-/// \returns what is said of a settings file with these lines in [limits]
+/// \returns the error message for a settings file with these lines in [limits]
 std::string message_of(const std::string &lines)
 {
-    result<mesh::mesh_settings> read = read_limits(lines);
+    result<mesh::mesh_settings> read = parse_limits(lines);
     return succeeded(read) ? "" : error_of(read).message;
 }
 
@@ -31,23 +31,23 @@
 
 }  // namespace
 
-TEST_CASE("limits, numbers with a fraction, are read")
+TEST_CASE("limits: decimal numbers are parsed")
 {
-    mesh::mesh_settings it = value_of(read_limits("stop_s = 4.5\nretry_ratio = 0.15\n"));
+    mesh::mesh_settings it = value_of(parse_limits("stop_s = 4.5\nretry_ratio = 0.15\n"));
     CHECK(it.stop_time == milliseconds(4500));
     CHECK(it.retry_ratio == 0.15);
 }
 
-// Story: a deployment has no bound on retries, and its settings leave the key out.
-// A node that took this for an error would not start.
-TEST_CASE("limits, none told, keep their defaults")
+// Guards against a node that does not start because its settings omit an optional limit.
+// Deployments without a bound on retries leave the key out.
+TEST_CASE("limits: missing keys keep their defaults")
 {
-    mesh::mesh_settings it = value_of(read_limits(""));
+    mesh::mesh_settings it = value_of(parse_limits(""));
     CHECK(it.stop_time == seconds(6));
     CHECK(it.retry_ratio == 0.2);
 }
 
-TEST_CASE("limits, bad numbers, are refused with file, key, found and allowed")
+TEST_CASE("limits: errors name file, key, found value and allowed range")
 {
     std::string text = message_of("retry_ratio = much\n");
     CHECK(contains(text, "s.ini"));
@@ -59,31 +59,31 @@
     CHECK(contains(message_of("retry_percent = 20\n"), "unknown key"));
 }
 
-TEST_CASE("settings, printed, read the same")
+TEST_CASE("settings: printed text parses to the same values")
 {
-    mesh::mesh_settings it = value_of(read_limits("stop_s = 4.5\nretry_ratio = 0.15\n"));
-    mesh::mesh_settings again =
+    mesh::mesh_settings it = value_of(parse_limits("stop_s = 4.5\nretry_ratio = 0.15\n"));
+    mesh::mesh_settings reparsed =
         value_of(mesh::parse_mesh_settings("p.ini", mesh::print_mesh_settings(it)));
-    CHECK(again.stop_time == it.stop_time);
-    CHECK(again.retry_ratio == it.retry_ratio);
-    CHECK(again.listen == it.listen);
+    CHECK(reparsed.stop_time == it.stop_time);
+    CHECK(reparsed.retry_ratio == it.retry_ratio);
+    CHECK(reparsed.listen == it.listen);
 }
 
 namespace {
 
-/// The bound in which a stop must be over stands in the settings.
+/// A node with a stop time of two seconds.
 struct short_stop_fixture
 {
-    mesh::mesh_settings settings = value_of(read_limits("stop_s = 2\n"));
+    mesh::mesh_settings settings = value_of(parse_limits("stop_s = 2\n"));
     mesh::mesh_node n = mesh::make_mesh_node(settings, 1, 1, time_point(seconds(1)));
     mesh::mesh_actions out;
 };
 
 }  // namespace
 
-// Story: a platform kills processes two seconds after the order to stop. With the
-// notice of a longer stop callers' requests are taken until the very end, and cut.
-TEST_CASE_FIXTURE(short_stop_fixture, "node with a short stop, refuses callers half way")
+// Guards against requests cut off by SIGKILL. With a short stop time, fixed close delays
+// would accept callers' requests until the process is killed.
+TEST_CASE_FIXTURE(short_stop_fixture, "short stop time: callers are refused after half of it")
 {
     mesh::mesh_turn t{n, time_point(seconds(10)), out};
     stop_node(t);
--- a/test/unit/mesh_stop.cpp
+++ b/test/unit/mesh_stop.cpp
@@ -7,9 +7,9 @@
 
 namespace {
 
-constexpr duration plenty = seconds(5);
+constexpr duration long_deadline = seconds(5);
 
-/// Two upstreams of one service, and one of another whose runs call it.
+/// Two upstreams of one service and one of another service whose runs call it.
 struct mesh_stop_fixture
 {
     test::mesh_world w{24};
@@ -37,11 +37,11 @@
         }
     }
 
-    /// Orders one request each 20 ms for a while.
-    void order_for(duration d)
+    /// Sends one order every 20 ms for the duration \a d.
+    void send_orders(duration d)
     {
         for (duration spent{}; spent < d; spent += milliseconds(20)) {
-            w.request("s1", "r" + std::to_string(++orders), "/order/x", plenty);
+            w.request("s1", "r" + std::to_string(++orders), "/order/x", long_deadline);
             w.run_for(milliseconds(20));
         }
     }
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Starts the process of the node whose gate is closed again.
+    /// Restarts the node whose gate is closed.
     void restart_closed()
     {
         for (auto [name, zone] : {std::pair("a1", "a"), std::pair("b1", "b")}) {
@@ -83,35 +83,37 @@
 
 }  // namespace
 
-// Guards against orders that fail because all nodes of a service that their runs call close their
-// gates in the same moment of a planned stop.
-TEST_CASE_FIXTURE(mesh_stop_fixture, "all nodes of a service told to stop, one after the other go")
+// Guards against failed orders when all nodes of a called service are stopped together and close
+// their gates at the same time.
+TEST_CASE_FIXTURE(mesh_stop_fixture,
+                  "all nodes of a service stopped together: gates close one by one")
 {
     stop_both();
-    order_for(milliseconds(2500));
+    send_orders(milliseconds(2500));
     CHECK(count_serving() == 1);
     restart_closed();
-    order_for(milliseconds(500));
+    send_orders(milliseconds(500));
     CHECK(count_serving() == 1);
     restart_closed();
-    order_for(milliseconds(500));
+    send_orders(milliseconds(500));
     CHECK(count_serving() == 2);
     w.run_for(seconds(3));
     CHECK(count_failed() == 0);
 }
 
-// Guards against a stop that is held up by other nodes that never come back: the process would be
-// killed with runs in flight.
-TEST_CASE_FIXTURE(mesh_stop_fixture, "node told to stop, no other comes back, closes in time")
+// Guards against a gate held open for nodes that never return: the process would be killed with
+// runs in flight.
+TEST_CASE_FIXTURE(mesh_stop_fixture,
+                  "stopping node: gate closes in time although no other node returns")
 {
     stop_both();
     w.run_for(milliseconds(4600));
     CHECK(count_serving() == 0);
 }
 
-// Guards against a node that holds its gate open for nobody: its upstream leaves as well.
+// Guards against a gate held open although the upstream is leaving too.
 TEST_CASE_FIXTURE(mesh_stop_fixture,
-                  "node told to stop, upstream has left, closes after the notice")
+                  "stopping node: gate closes after the delay if the upstream drains")
 {
     w.beat("a1", upstream_state::draining);
     stop_both();
@@ -119,11 +121,11 @@
     CHECK(w.nodes.at("a1").gate_closed);
 }
 
-// Guards against an order that is lost because a call of its run finds no upstream for the moment
-// that a replacement takes.
-TEST_CASE_FIXTURE(mesh_stop_fixture, "call of a run, upstreams away for a moment, waits for one")
+// Guards against an order that fails because a call of its run finds no upstream while the
+// upstreams are being replaced.
+TEST_CASE_FIXTURE(mesh_stop_fixture, "call made by a run: waits while upstreams are briefly absent")
 {
-    w.request("s1", "r1", "/order/x", plenty);
+    w.request("s1", "r1", "/order/x", long_deadline);
     w.beat("a1", upstream_state::draining);
     w.beat("b1", upstream_state::draining);
     w.run_for(milliseconds(800));
@@ -133,46 +135,46 @@
     CHECK(w.results.at("r1").status == 200);
 }
 
-// Guards against runs that hold their slots until their deadlines for a service that is gone.
-TEST_CASE_FIXTURE(mesh_stop_fixture, "call of a run, no upstream comes back, fails before its time")
+// Guards against runs that hold their slots until the deadline while a service is absent.
+TEST_CASE_FIXTURE(mesh_stop_fixture,
+                  "call made by a run: fails before its deadline if no upstream returns")
 {
-    w.request("s1", "r1", "/order/x", plenty);
+    w.request("s1", "r1", "/order/x", long_deadline);
     w.beat("a1", upstream_state::draining);
     w.beat("b1", upstream_state::draining);
     w.run_for(milliseconds(2600));
     CHECK(w.results.at("r1").status == 500);
 }
 
-// Guards against a caller's request that is held back: it has not run, and its caller can come
-// again.
-TEST_CASE_FIXTURE(mesh_stop_fixture, "request of a caller, no upstream, refused at once")
+// Guards against delaying a caller's request: it has not run, and its caller can retry elsewhere.
+TEST_CASE_FIXTURE(mesh_stop_fixture, "caller's request: refused at once without an upstream")
 {
     w.beat("a1", upstream_state::draining);
     w.beat("b1", upstream_state::draining);
     w.run_for(milliseconds(10));
-    w.request("s1", "r1", "/title/x", plenty);
+    w.request("s1", "r1", "/title/x", long_deadline);
     w.run_for(milliseconds(10));
     CHECK(w.results.at("r1").status == 503);
 }
 
-// Guards against an upstream's error that is replaced by one of the node's own, since no other
-// upstream is left to try.
-TEST_CASE_FIXTURE(mesh_stop_fixture, "error of an upstream, no other is left, passed on")
+// Guards against replacing an upstream's error response by an error of the node when no other
+// upstream is left for a retry.
+TEST_CASE_FIXTURE(mesh_stop_fixture, "upstream error: forwarded if no other upstream is left")
 {
     w.beat("b1", upstream_state::draining);
     w.run_for(milliseconds(10));
-    w.request("s1", "r1", "/index/x", plenty);
+    w.request("s1", "r1", "/index/x", long_deadline);
     w.run_for(milliseconds(500));
     CHECK(w.results.at("r1").status == 500);
 }
 
-// Shows that the two tests above fail without what they test.
-TEST_CASE_FIXTURE(mesh_stop_fixture, "stops in any order, calls that don't wait, lose orders")
+// Control: without ordered stops and waiting calls, orders are lost.
+TEST_CASE_FIXTURE(mesh_stop_fixture, "unordered stops and no waiting calls: orders are lost")
 {
     switch_off(&mesh::mesh_switches::ordered_stops);
     switch_off(&mesh::mesh_switches::waiting_calls);
     stop_both();
-    order_for(milliseconds(2500));
+    send_orders(milliseconds(2500));
     CHECK(count_serving() == 0);
     CHECK(count_failed() > 0);
 }
