--- a/gullstall/src/policy/traffic_policy.cpp
+++ b/gullstall/src/policy/traffic_policy.cpp
@@ -11,7 +11,7 @@
     return !text.empty() && text.front() == '/' && text.back() == '/';
 }
 
-std::string place_of(std::string_view host, std::string_view prefix)
+std::string prefix_key(std::string_view host, std::string_view prefix)
 {
     std::string out = boost::algorithm::to_lower_copy(std::string(host));
     out += prefix;
@@ -28,15 +28,15 @@
     for (std::size_t i = 0; i < out.routes.size(); ++i) {
         const traffic_route &route = out.routes[i];
         if (!is_prefix(route.prefix)) {
-            return error{error_code::out_of_range,
-                         "route '" + route.name + "': found prefix '" + route.prefix +
-                             "', expected one that begins and ends with a slash"};
+            return error{error_code::out_of_range, "route '" + route.name + "': prefix '" +
+                                                       route.prefix +
+                                                       "' must begin and end with a slash"};
         }
         if (route.services.empty()) {
             return error{error_code::out_of_range, "route '" + route.name + "' has no service"};
         }
-        out.by_name[route.name] = i;
-        if (!out.by_place.emplace(place_of(route.host, route.prefix), i).second) {
+        out.routes_by_name[route.name] = i;
+        if (!out.routes_by_prefix.emplace(prefix_key(route.host, route.prefix), i).second) {
             return error{error_code::duplicate, "route '" + route.name +
                                                     "': another route has the host and prefix " +
                                                     route.host + route.prefix};
@@ -45,32 +45,32 @@
     return out;
 }
 
-const traffic_route *find_route(const traffic_policy &it, std::string_view host,
+const traffic_route *find_route(const traffic_policy &policy, std::string_view host,
                                 std::string_view target)
 {
     std::string_view path = target.substr(0, target.find('?'));
     std::string_view name = host.substr(0, host.find(':'));
-    // From the longest prefix to the shortest: each ends at a slash of the path.
-    std::string place = place_of(name, path);
-    while (place.size() > name.size()) {
-        std::size_t slash = place.rfind('/');
+    // Tries the prefixes of the path that end at a slash, longest first.
+    std::string key = prefix_key(name, path);
+    while (key.size() > name.size()) {
+        std::size_t slash = key.rfind('/');
         if (slash == std::string::npos || slash < name.size()) {
             return nullptr;
         }
-        place.resize(slash + 1);
-        auto found = it.by_place.find(place);
-        if (found != it.by_place.end()) {
-            return &it.routes[found->second];
+        key.resize(slash + 1);
+        auto found = policy.routes_by_prefix.find(key);
+        if (found != policy.routes_by_prefix.end()) {
+            return &policy.routes[found->second];
         }
-        place.resize(slash);
+        key.resize(slash);
     }
     return nullptr;
 }
 
-const traffic_route *route_named(const traffic_policy &it, std::string_view name)
+const traffic_route *route_named(const traffic_policy &policy, std::string_view name)
 {
-    auto found = it.by_name.find(std::string(name));
-    return found == it.by_name.end() ? nullptr : &it.routes[found->second];
+    auto found = policy.routes_by_name.find(std::string(name));
+    return found == policy.routes_by_name.end() ? nullptr : &policy.routes[found->second];
 }
 
 }  // namespace gullstall
--- a/gullstall/src/policy/traffic_policy.hpp
+++ b/gullstall/src/policy/traffic_policy.hpp
@@ -13,14 +13,14 @@
 
 namespace gullstall {
 
-/// What may be repeated on a route.
+/// Whether requests of a route may run more than once.
 enum class repeatability
 {
     idempotent,     ///< a request may run more than once
     non_idempotent  ///< a request runs at most once
 };
 
-/// One of the services that a route sends to, with its share.
+/// A destination service of a route with its weight.
 struct weighted_service
 {
     std::string service;
@@ -29,32 +29,32 @@
     bool operator==(const weighted_service &) const = default;
 };
 
-/// Where requests of one host and path prefix go and how they are treated.
+/// Destinations and handling of the requests of one host and path prefix.
 struct traffic_route
 {
     std::string name;
     std::string host;
     std::string prefix;  ///< begins and ends with a slash
     repeatability repeats = repeatability::non_idempotent;
-    duration timeout{};              ///< longest time that a caller is kept waiting
-    duration latency_objective{};    ///< an answer within it is of full use
+    duration timeout{};              ///< maximum time until the caller is answered
+    duration latency_objective{};    ///< target time of an answer
     std::uint32_t priority = 0;      ///< 0 is the most important
-    std::uint32_t max_attempts = 1;  ///< upstreams that one request may be handed to
+    std::uint32_t max_attempts = 1;  ///< maximum number of upstreams tried per request
     std::vector<weighted_service> services;
 
     bool operator==(const traffic_route &) const = default;
 };
 
-/// What the policy says of a service.
+/// Policy of a service.
 struct service_policy
 {
     std::string health_path;
-    std::uint32_t max_connections = 0;  ///< that one upstream takes
+    std::uint32_t max_connections = 0;  ///< per upstream
 
     bool operator==(const service_policy &) const = default;
 };
 
-/// Bounds on what a caller may send and how long it may take.
+/// Limits on the size and the duration of requests from callers.
 struct caller_limits
 {
     std::uint32_t max_header_bytes = 16384;
@@ -65,36 +65,37 @@
     bool operator==(const caller_limits &) const = default;
 };
 
-/// The operator's policy for all traffic, of one version.
+/// One version of the operator's policy for all traffic.
 struct traffic_policy
 {
     std::uint64_t version = 0;
     std::vector<traffic_route> routes;
     std::map<std::string, service_policy> services;  ///< by name
     caller_limits limits;
-    std::unordered_map<std::string, std::size_t> by_place;  ///< host and prefix to index in routes
-    std::unordered_map<std::string, std::size_t> by_name;   ///< index in routes
+    /// Index in routes, by host and prefix.
+    std::unordered_map<std::string, std::size_t> routes_by_prefix;
+    std::unordered_map<std::string, std::size_t> routes_by_name;  ///< index in routes, by name
 
     bool operator==(const traffic_policy &) const = default;
 };
 
-/// Makes a policy; routes are indexed for find_route.
-/// \returns the policy, or duplicate for two routes of one host and prefix,
-/// out_of_range for a route without service or with a prefix that does not
-/// begin and end with a slash
+/// Creates a policy and indexes its routes for find_route.
+/// \returns the policy; duplicate when two routes have the same host and prefix;
+/// out_of_range when a route has no service or its prefix does not begin and end
+/// with a slash
 result<traffic_policy> make_policy(std::uint64_t version, std::vector<traffic_route> routes,
                                    std::map<std::string, service_policy> services,
                                    const caller_limits &limits);
 
 /// \param host as the caller sent it, with or without a port
 /// \param target path, with or without a query
-/// \returns the route of \a host with the longest prefix that begins the path,
+/// \returns the route of \a host with the longest matching path prefix,
 /// nullptr when there is none
-const traffic_route *find_route(const traffic_policy &it, std::string_view host,
+const traffic_route *find_route(const traffic_policy &policy, std::string_view host,
                                 std::string_view target);
 
-/// \returns the route called \a name, nullptr when there is none
-const traffic_route *route_named(const traffic_policy &it, std::string_view name);
+/// \returns the route named \a name, nullptr when there is none
+const traffic_route *route_named(const traffic_policy &policy, std::string_view name);
 
 }  // namespace gullstall
 
--- a/gullstall/src/retry/allowance.cpp
+++ b/gullstall/src/retry/allowance.cpp
@@ -4,24 +4,24 @@
 
 namespace gullstall {
 
-std::uint32_t take_share(allowance &it)
+std::uint32_t take_share(allowance &retries)
 {
-    std::uint32_t share = (it.left + 1) / 2;
-    it.left -= share;
+    std::uint32_t share = (retries.left + 1) / 2;
+    retries.left -= share;
     return share;
 }
 
-void return_share(allowance &it, std::uint32_t share, std::uint32_t unspent)
+void return_share(allowance &retries, std::uint32_t share, std::uint32_t unspent)
 {
-    it.left += std::min(share, unspent);
+    retries.left += std::min(share, unspent);
 }
 
-bool spend_retry(allowance &it)
+bool spend_retry(allowance &retries)
 {
-    if (it.left == 0) {
+    if (retries.left == 0) {
         return false;
     }
-    --it.left;
+    --retries.left;
     return true;
 }
 
--- a/gullstall/src/retry/allowance.hpp
+++ b/gullstall/src/retry/allowance.hpp
@@ -6,9 +6,10 @@
 
 namespace gullstall {
 
-/// What is left of a request's retry allowance at one node. It is divided
-/// among calls and never copied, so the sum over the whole tree of calls stays
-/// within what the entry stamped, however deep the tree is.
+/// Remaining retry allowance of a request at one node. It is divided among the
+/// calls made for the request and never copied, so that the total number of
+/// retries in a call tree of any depth stays within the allowance assigned by the
+/// entry node.
 struct allowance
 {
     std::uint32_t left;
@@ -16,18 +17,18 @@
     auto operator<=>(const allowance &) const = default;
 };
 
-/// Takes the share for one call out of \a it: half, rounded up, so that the last
-/// re-send is not left with a hop high above the one that could use it. A share
-/// that comes back unspent still pays for the sender's own re-send.
-std::uint32_t take_share(allowance &it);
+/// Takes the share for one call out of \a retries: half, rounded up, so that the last
+/// retry is passed on to the deeper hop that may need it. If the share is returned
+/// unspent, the caller can use it for its own retry.
+std::uint32_t take_share(allowance &retries);
 
-/// Puts back \a unspent of a \a share; a reply can never return more than the
-/// share it was given.
-void return_share(allowance &it, std::uint32_t share, std::uint32_t unspent);
+/// Returns the \a unspent part of a \a share. It is limited to the share, so that a
+/// reply cannot increase the allowance.
+void return_share(allowance &retries, std::uint32_t share, std::uint32_t unspent);
 
-/// Pays for one re-send.
-/// \returns false when nothing is left
-bool spend_retry(allowance &it);
+/// Takes one retry out of the allowance.
+/// \returns false when the allowance is used up
+bool spend_retry(allowance &retries);
 
 }  // namespace gullstall
 
--- a/gullstall/src/retry/budget.cpp
+++ b/gullstall/src/retry/budget.cpp
@@ -6,23 +6,24 @@
 
 namespace {
 
-/// Re-sends that can be saved up; it lets a quiet service retry at once.
+/// Capacity of the token bucket: lets calls to a service with little traffic be
+/// retried at once.
 constexpr double max_tokens = 20;
 constexpr double percent_scale = 100;
 
 }  // namespace
 
-void earn_retry(retry_budget &it, std::uint32_t percent)
+void earn_retry(retry_budget &budget, std::uint32_t percent)
 {
-    it.tokens = std::min(max_tokens, it.tokens + percent / percent_scale);
+    budget.tokens = std::min(max_tokens, budget.tokens + percent / percent_scale);
 }
 
-bool spend_budget(retry_budget &it)
+bool spend_budget(retry_budget &budget)
 {
-    if (it.tokens < 1) {
+    if (budget.tokens < 1) {
         return false;
     }
-    it.tokens -= 1;
+    budget.tokens -= 1;
     return true;
 }
 
--- a/gullstall/src/retry/budget.hpp
+++ b/gullstall/src/retry/budget.hpp
@@ -5,19 +5,20 @@
 
 namespace gullstall {
 
-/// Bounds re-sends to one upstream service to a share of its calls, so that an
-/// outage does not double the load on what is left of it.
+/// Token bucket that limits retries to one upstream service to a percentage of its
+/// calls. During a partial outage, retries thus cannot double the load on the
+/// remaining instances.
 struct retry_budget
 {
     double tokens = 0;
 };
 
-/// Notes a first send; it earns \a percent of a re-send.
-void earn_retry(retry_budget &it, std::uint32_t percent);
+/// Adds \a percent of a token for the first attempt of a call.
+void earn_retry(retry_budget &budget, std::uint32_t percent);
 
-/// Pays for one re-send.
+/// Takes one token for a retry.
 /// \returns false when the budget is used up
-bool spend_budget(retry_budget &it);
+bool spend_budget(retry_budget &budget);
 
 }  // namespace gullstall
 
--- a/test/unit/retry_deep.cpp
+++ b/test/unit/retry_deep.cpp
@@ -17,7 +17,7 @@
 retry_budget_percent = 100
 )";
 
-/// A chain of four services; the first run at the last one is refused.
+/// Chain of four services. The first run at the last service is refused.
 struct retry_deep_fixture
 {
     test::test_publisher publisher;
@@ -31,7 +31,7 @@
     {
         publisher.publish(w.platform, bundle_text);
         w.on_run = [this](const std::string &instance, run_on_worker &&run) {
-            run_it(instance, run);
+            execute_run(instance, run);
         };
         w.on_answer = [this](const std::string &, call_ref call, caller_answer &&answer) {
             auto caller = callers.find(call);
@@ -45,18 +45,18 @@
                 w.answer_run(instance, run, worker_end::answered, status);
             });
         };
-        std::uint16_t number = 0;
+        std::uint16_t node_number = 0;
         for (int service = 0; service < 4; ++service) {
-            for (const char *letter : {"a", "b"}) {
+            for (const char *suffix : {"a", "b"}) {
                 std::string name = "s" + std::to_string(service);
-                w.add_node(test::make_settings(name + letter, "midrand", name, ++number, 4,
+                w.add_node(test::make_settings(name + suffix, "midrand", name, ++node_number, 4,
                                                publisher.trusted()));
             }
         }
         w.run_for(seconds(3));
     }
 
-    void run_it(const std::string &instance, const run_on_worker &run)
+    void execute_run(const std::string &instance, const run_on_worker &run)
     {
         int service = instance[1] - '0';
         if (service == 3) {
@@ -74,10 +74,9 @@
 
 }  // namespace
 
-// Story: an upstream four services deep is replaced and refuses one call as not
-// run. The hops above have kept the whole allowance, the hop that could send the
-// call to the next upstream has none left, and a caller gets an error for a
-// planned stop.
+// Guards against an error caused by a planned restart. An upstream four services deep
+// is replaced and refuses one call as not run. If the hops above keep the whole
+// allowance, the hop that could send the call to another upstream has none left.
 TEST_CASE_FIXTURE(retry_deep_fixture, "refused once four deep, allowance of three, answered whole")
 {
     w.call("s0a", caller_call{"s0", "go", "r1", "", "", {}, {}});
--- a/test/unit/retry_join.cpp
+++ b/test/unit/retry_join.cpp
@@ -40,7 +40,7 @@
         w.run_for(seconds(3));
     }
 
-    call_ref ask(body_bytes body = {1})
+    call_ref send_call(body_bytes body = {1})
     {
         return w.call("tracker-1",
                       caller_call{"tracker", "status", "r1", "", "", {}, std::move(body)});
@@ -49,23 +49,23 @@
 
 }  // namespace
 
-// Story: counter staff press the button again while the first lookup is on its
-// way. Each press runs the lookup once more, with a retry allowance of its own,
-// just when the service is slow.
+// Guards against repeated runs of one request. A user repeats a request while the first
+// one is in flight. Without joining, each repeat runs the request again with a retry
+// allowance of its own, at a time when the service is already slow.
 TEST_CASE_FIXTURE(retry_join_fixture, "repeat in flight, without joining, runs once more")
 {
     w.nodes.at("tracker-1").guards.join_repeats = false;
-    ask();
-    ask();
+    send_call();
+    send_call();
     w.run_for(milliseconds(200));
     CHECK(runs == 2);
 }
 
 TEST_CASE_FIXTURE(retry_join_fixture, "repeat in flight, same body, both get the one answer")
 {
-    call_ref first = ask();
+    call_ref first = send_call();
     w.run_for(milliseconds(10));
-    call_ref second = ask();
+    call_ref second = send_call();
     w.run_for(milliseconds(200));
     CHECK(runs == 1);
     REQUIRE(answers.size() == 2);
@@ -77,8 +77,8 @@
 
 TEST_CASE_FIXTURE(retry_join_fixture, "repeat in flight, another body, refused at once")
 {
-    ask({1});
-    ask({2});
+    send_call({1});
+    send_call({2});
     REQUIRE(answers.size() == 1);
     CHECK(answers[0].second.outcome == wire::outcome::not_run);
     CHECK(answers[0].second.refusal == wire::refusal::key_mismatch);
@@ -86,8 +86,8 @@
 
 TEST_CASE_FIXTURE(retry_join_fixture, "first caller leaves, a repeat waits, run goes on")
 {
-    call_ref first = ask();
-    call_ref second = ask();
+    call_ref first = send_call();
+    call_ref second = send_call();
     w.feed("tracker-1", call_abandoned{first});
     w.run_for(milliseconds(200));
     CHECK(cancelled == 0);
@@ -98,8 +98,8 @@
 
 TEST_CASE_FIXTURE(retry_join_fixture, "all callers leave, run is cancelled")
 {
-    call_ref first = ask();
-    call_ref second = ask();
+    call_ref first = send_call();
+    call_ref second = send_call();
     w.feed("tracker-1", call_abandoned{second});
     w.feed("tracker-1", call_abandoned{first});
     w.run_for(milliseconds(200));
