--- a/gullstall/route.hpp
+++ b/gullstall/route.hpp
@@ -1,7 +1,7 @@
 #ifndef GULLSTALL_ROUTE_HPP
 #define GULLSTALL_ROUTE_HPP
 
-/// Route module: the choice of an upstream.
+/// Route module: load balancing among upstreams.
 
 #include "gullstall/src/route/router.hpp"
 
--- a/gullstall/src/route/router.hpp
+++ b/gullstall/src/route/router.hpp
@@ -12,75 +12,77 @@
 
 namespace gullstall {
 
-/// What this node has itself seen of an upstream. It goes before the
-/// upstream's health and load endpoints, which lag or mislead.
+/// Observations of an upstream by this node. They take precedence over the health
+/// and load endpoints of the upstream, which lag or report wrong values.
 struct upstream_record
 {
     std::uint32_t in_flight = 0;
-    double latency_us = 0;     ///< moving average of answers, 0: none yet
-    duration queue_wait{};     ///< for a slot, as the last reply told it
-    double refused_share = 0;  ///< moving share of calls that it refused, at refused_at
-    time_point refused_at{};
-    std::uint32_t failures_in_row = 0;
+    double latency_us = 0;    ///< moving average over answers, 0 before the first one
+    duration queue_wait{};    ///< wait for a slot, as reported by the last reply
+    double refusal_rate = 0;  ///< moving average of the fraction of refused calls, at last_refusal
+    time_point last_refusal{};
+    std::uint32_t consecutive_failures = 0;
     time_point ejected_until{};
     time_point leaving_until{};
-    std::uint64_t incarnation = 0;  ///< of the member that the record speaks of
-    time_point since{};             ///< when this node first saw it
+    std::uint64_t incarnation = 0;  ///< of the member that the record describes
+    time_point first_seen{};        ///< time at which this node first saw the incarnation
 };
 
-/// Chooses among upstreams by own observations.
+/// Load balancer that chooses upstreams by the observations of this node.
 struct router
 {
-    std::map<std::string, upstream_record> upstreams;  // by instance
+    std::map<std::string, upstream_record> upstreams;  ///< by instance
 };
 
-/// Where a call may go.
+/// Constraints on the upstream of a call.
 struct route_request
 {
     std::string service;
     std::string own_instance;
     std::string own_zone;
-    std::vector<std::string> tried;  ///< instances that a re-send passes over
-    bool keep_near = false;          ///< other zones only for a wait for slots: a call that must
-                                     ///< not run twice is lost when the way there is cut
+    std::vector<std::string> tried;  ///< instances that a retry excludes
+    /// Uses other zones only for shorter slot waits. For calls that must not run
+    /// twice: one that is sent to a zone which is then cut off cannot be retried.
+    bool prefer_own_zone = false;
 };
 
-/// Chooses an upstream: of two at random in the own zone the one with the
-/// shorter estimated time; of two in other zones the better one, when its
-/// estimate is clearly shorter, or the more likely the longer the wait for a
-/// slot in the own zone is beyond that in the other. A new upstream gets its share of calls slowly;
-/// one that fails in a row is passed over for a while, unless half of the
-/// service would be.
+/// Chooses an upstream by the power of two choices: of two random upstreams of the
+/// own zone the one with less estimated work. It is compared with the better of two
+/// random upstreams of other zones, which is chosen when its estimated time is
+/// clearly shorter, or else with a probability that grows with the difference of
+/// the waits for a slot. New upstreams receive calls by slow start. Upstreams with
+/// consecutive failures are ejected for some time, unless more than half of the
+/// service would be ejected.
 /// \returns the instance, none when no upstream is left
-std::optional<std::string> choose_upstream(router &it, const member_table &members,
+std::optional<std::string> choose_upstream(router &routes, const member_table &members,
                                            const route_request &request, random_source &random,
                                            time_point now);
 
-/// Notes that a call was sent to \a instance.
-void note_sent(router &it, const std::string &instance);
+/// Records that a call was sent to \a instance.
+void note_sent(router &routes, const std::string &instance);
 
-/// Notes an answer of \a instance after \a took.
-void note_answered(router &it, const std::string &instance, duration took);
+/// Records that \a instance answered a call after \a took.
+void note_answered(router &routes, const std::string &instance, duration took);
 
-/// Notes how long a call waits for a slot at \a instance.
-void note_queue_wait(router &it, const std::string &instance, duration wait);
+/// Records the time that calls wait for a slot at \a instance.
+void note_queue_wait(router &routes, const std::string &instance, duration wait);
 
-/// Notes that \a instance refused a call; how fast it did says nothing about
-/// how fast it would run one.
-void note_refused(router &it, const std::string &instance, time_point now);
+/// Records that \a instance refused a call. The time until the refusal is ignored:
+/// it does not tell how fast the instance runs calls.
+void note_refused(router &routes, const std::string &instance, time_point now);
 
-/// Notes that a call to \a instance ended without saying anything of it: its
-/// caller left.
-void note_ended(router &it, const std::string &instance);
+/// Records that a call to \a instance ended without information about the instance,
+/// because its caller disconnected.
+void note_ended(router &routes, const std::string &instance);
 
-/// Notes that \a instance gave no answer.
-void note_failed(router &it, const std::string &instance, time_point now);
+/// Records that \a instance did not answer a call.
+void note_failed(router &routes, const std::string &instance, time_point now);
 
-/// Notes that \a instance said it takes no new work.
-void note_leaving(router &it, const std::string &instance, time_point now);
+/// Records that \a instance reported that it accepts no new calls.
+void note_leaving(router &routes, const std::string &instance, time_point now);
 
-/// Notes that \a instance takes work again.
-void note_returned(router &it, const std::string &instance);
+/// Records that \a instance accepts calls again.
+void note_returned(router &routes, const std::string &instance);
 
 }  // namespace gullstall
 
--- a/gullstall/src/suspects/suspect_table.cpp
+++ b/gullstall/src/suspects/suspect_table.cpp
@@ -6,84 +6,88 @@
 
 namespace {
 
-constexpr duration suspect_memory = seconds(600);
-constexpr duration judging_interval = milliseconds(500);
-constexpr duration one_crash = milliseconds(200);
+constexpr duration suspect_lifetime = seconds(600);
+constexpr duration check_interval = milliseconds(500);
+constexpr duration crash_loss_window = milliseconds(200);
 
-/// A cut silences every node of a zone at once and crashes none.
-/// \returns whether the crash is to be dropped
-bool is_cut(suspect::seen_crash &seen, time_point now,
-            const std::function<bool(const std::string &)> &zone_lives)
+/// Checks a crash against the state of its zone: a network partition silences all
+/// nodes of a zone at once without crashing any.
+/// \returns whether the crash was a partition and is to be removed
+bool is_partition(suspect::observed_crash &observed, time_point now,
+                  const std::function<bool(const std::string &)> &zone_alive)
 {
-    if (seen.judged || now < seen.at + judge_after) {
+    if (observed.confirmed || now < observed.at + partition_check_delay) {
         return false;
     }
-    seen.judged = true;
-    return !zone_lives(seen.what.lost_peer);
+    observed.confirmed = true;
+    return !zone_alive(observed.what.lost_peer);
 }
 
 }  // namespace
 
-bool note_suspect(suspect_table &it, const std::string &request, const crash &what, time_point now)
+bool note_suspect(suspect_table &table, const std::string &request, const crash &what,
+                  time_point now)
 {
-    suspect &one = it.suspects[request];
-    one.forget_at = now + suspect_memory;
-    return one.crashes
-        .try_emplace(what.name, suspect::seen_crash{what, now, what.lost_peer.empty()})
+    suspect &entry = table.suspects[request];
+    entry.expires_at = now + suspect_lifetime;
+    return entry.crashes
+        .try_emplace(what.name, suspect::observed_crash{what, now, what.lost_peer.empty()})
         .second;
 }
 
-void tell_suspect(suspect_table &it, const std::string &request, const crash &what)
+void tell_suspect(suspect_table &table, const std::string &request, const crash &what)
 {
-    auto found = std::find_if(it.to_tell.begin(), it.to_tell.end(),
-                              [&](const suspect_report &one) { return one.what == what; });
-    if (found == it.to_tell.end()) {
-        found = it.to_tell.insert(it.to_tell.end(), suspect_report{what, {}});
+    auto found = std::find_if(table.to_tell.begin(), table.to_tell.end(),
+                              [&](const suspect_report &report) { return report.what == what; });
+    if (found == table.to_tell.end()) {
+        found = table.to_tell.insert(table.to_tell.end(), suspect_report{what, {}});
     }
     found->requests.push_back(request);
 }
 
-crash own_crash(suspect_table &it, const std::string &instance, std::uint64_t incarnation,
+crash own_crash(suspect_table &table, const std::string &instance, std::uint64_t incarnation,
                 time_point now)
 {
-    if (it.own_crashes == 0 || now > it.last_loss + one_crash) {
-        ++it.own_crashes;
+    if (table.local_crashes == 0 || now > table.last_lost_run + crash_loss_window) {
+        ++table.local_crashes;
     }
-    it.last_loss = now;
+    table.last_lost_run = now;
     return crash{
-        instance + ":" + std::to_string(incarnation) + ":" + std::to_string(it.own_crashes), "", 0};
+        instance + ":" + std::to_string(incarnation) + ":" + std::to_string(table.local_crashes),
+        "", 0};
 }
 
-bool clear_suspect(suspect_table &it, const std::string &request)
+bool clear_suspect(suspect_table &table, const std::string &request)
 {
-    auto found = it.suspects.find(request);
-    if (found == it.suspects.end() || found->second.crashes.size() >= crashes_to_refuse) {
+    auto found = table.suspects.find(request);
+    if (found == table.suspects.end() || found->second.crashes.size() >= crashes_to_refuse) {
         return false;
     }
-    it.suspects.erase(found);
+    table.suspects.erase(found);
     return true;
 }
 
-std::size_t crashes_of(const suspect_table &it, const std::string &request)
+std::size_t crashes_of(const suspect_table &table, const std::string &request)
 {
-    auto found = it.suspects.find(request);
-    return found == it.suspects.end() ? 0 : found->second.crashes.size();
+    auto found = table.suspects.find(request);
+    return found == table.suspects.end() ? 0 : found->second.crashes.size();
 }
 
-void judge_suspects(suspect_table &it, time_point now,
-                    const std::function<bool(const std::string &)> &zone_lives)
+void judge_suspects(suspect_table &table, time_point now,
+                    const std::function<bool(const std::string &)> &zone_alive)
 {
-    if (now < it.next_judging) {
+    if (now < table.next_check) {
         return;
     }
-    it.next_judging = now + judging_interval;
-    for (auto next = it.suspects.begin(); next != it.suspects.end();) {
+    table.next_check = now + check_interval;
+    for (auto next = table.suspects.begin(); next != table.suspects.end();) {
         auto &crashes = next->second.crashes;
-        for (auto seen = crashes.begin(); seen != crashes.end();) {
-            seen = is_cut(seen->second, now, zone_lives) ? crashes.erase(seen) : std::next(seen);
+        for (auto observed = crashes.begin(); observed != crashes.end();) {
+            observed = is_partition(observed->second, now, zone_alive) ? crashes.erase(observed)
+                                                                       : std::next(observed);
         }
-        bool over = crashes.empty() || now >= next->second.forget_at;
-        next = over ? it.suspects.erase(next) : std::next(next);
+        bool expired = crashes.empty() || now >= next->second.expires_at;
+        next = expired ? table.suspects.erase(next) : std::next(next);
     }
 }
 
--- a/gullstall/src/suspects/suspect_table.hpp
+++ b/gullstall/src/suspects/suspect_table.hpp
@@ -11,14 +11,15 @@
 
 namespace gullstall {
 
-/// Crashes after which a request is refused for good.
+/// Number of crashes after which a request is refused permanently.
 constexpr std::size_t crashes_to_refuse = 2;
 
 /// A crash of an upstream with requests in flight.
 struct crash
 {
-    std::string name;       ///< the same at every node that tells of it
-    std::string lost_peer;  ///< instance whose node went silent too, empty: its node saw the crash
+    std::string name;       ///< identical at every node that reports the crash
+    std::string lost_peer;  ///< instance whose node became silent too, empty when its node reported
+                            ///< the crash
     std::uint64_t incarnation = 0;  ///< of lost_peer
 
     bool operator==(const crash &) const = default;
@@ -27,63 +28,64 @@
 /// A request that was in flight when upstreams crashed.
 struct suspect
 {
-    struct seen_crash
+    struct observed_crash
     {
         crash what;
         time_point at;
-        bool judged;  ///< false: it may be a cut between zones and no crash
+        bool confirmed;  ///< false while it may be a network partition instead of a crash
     };
-    std::map<std::string, seen_crash> crashes;  ///< by name
-    time_point forget_at{};
+    std::map<std::string, observed_crash> crashes;  ///< by name
+    time_point expires_at{};
 };
 
-/// News of suspects that are to be told to the other nodes.
+/// Report of the suspects of one crash to the other nodes.
 struct suspect_report
 {
     crash what;
     std::vector<std::string> requests;
 };
 
-/// All suspects that a node knows.
+/// Suspects known to a node.
 struct suspect_table
 {
-    std::map<std::string, suspect> suspects;  ///< by request
-    std::vector<suspect_report> to_tell;
-    std::vector<std::string> cleared_to_tell;
-    std::uint64_t own_crashes = 0;  ///< of the own worker
-    time_point last_loss{};         ///< of a run on the own worker
-    time_point next_judging{};
-    bool refuse_crashers = true;  ///< tests turn it off to see the violation
-    bool run_alone = true;        ///< tests turn it off to see the violation
+    std::map<std::string, suspect> suspects;   ///< by request
+    std::vector<suspect_report> to_tell;       ///< reports not sent yet
+    std::vector<std::string> cleared_to_tell;  ///< cleared requests not reported yet
+    std::uint64_t local_crashes = 0;           ///< crashes of the local worker
+    time_point last_lost_run{};                ///< last time the local worker lost a run
+    time_point next_check{};
+    bool refuse_crashers = true;  ///< disabled in tests to reproduce the violation
+    bool run_alone = true;        ///< disabled in tests to reproduce the violation
 };
 
-/// Notes that \a request was in flight at \a what.
-/// \returns whether that was news
-bool note_suspect(suspect_table &it, const std::string &request, const crash &what, time_point now);
+/// Records that \a request was in flight at the crash \a what.
+/// \returns whether the crash was not yet recorded for the request
+bool note_suspect(suspect_table &table, const std::string &request, const crash &what,
+                  time_point now);
 
-/// Puts a suspect into the news for the other nodes.
-void tell_suspect(suspect_table &it, const std::string &request, const crash &what);
+/// Adds a suspect to the pending reports to other nodes.
+void tell_suspect(suspect_table &table, const std::string &request, const crash &what);
 
-/// \returns the crash that a run lost now on the own worker belongs to; losses
-/// that follow each other closely are of one crash
-crash own_crash(suspect_table &it, const std::string &instance, std::uint64_t incarnation,
+/// \returns the crash that a run just lost by the local worker belongs to; losses in
+/// quick succession belong to the same crash
+crash own_crash(suspect_table &table, const std::string &instance, std::uint64_t incarnation,
                 time_point now);
 
-/// Forgets a suspect that has run to its end, unless it is refused already.
-/// \returns whether it was one
-bool clear_suspect(suspect_table &it, const std::string &request);
+/// Removes a suspect that has run to completion, unless it is already refused.
+/// \returns whether a suspect was removed
+bool clear_suspect(suspect_table &table, const std::string &request);
 
-/// \returns the number of crashes that \a request was in flight at
-std::size_t crashes_of(const suspect_table &it, const std::string &request);
+/// \returns the number of crashes during which \a request was in flight
+std::size_t crashes_of(const suspect_table &table, const std::string &request);
 
-/// Time after which a silent peer is judged: gossip then knows whether its zone
-/// is cut off.
-constexpr duration judge_after = seconds(5);
+/// Delay before the crash of a silent peer is checked against the state of its zone:
+/// after it, gossip has detected whether the zone is partitioned.
+constexpr duration partition_check_delay = seconds(5);
 
-/// Drops the crashes that turned out to be cuts, and suspects whose time is over.
-/// \param zone_lives tells whether another member of the instance's zone is alive
-void judge_suspects(suspect_table &it, time_point now,
-                    const std::function<bool(const std::string &instance)> &zone_lives);
+/// Removes crashes that turned out to be network partitions, and expired suspects.
+/// \param zone_alive returns whether another member of the zone of \a instance is alive
+void judge_suspects(suspect_table &table, time_point now,
+                    const std::function<bool(const std::string &instance)> &zone_alive);
 
 }  // namespace gullstall
 
--- a/gullstall/suspects.hpp
+++ b/gullstall/suspects.hpp
@@ -1,7 +1,7 @@
 #ifndef GULLSTALL_SUSPECTS_HPP
 #define GULLSTALL_SUSPECTS_HPP
 
-/// Suspects module: requests that may crash the upstreams that run them.
+/// Suspects module: tracking of requests that may crash the upstreams that run them.
 
 #include "gullstall/src/suspects/suspect_table.hpp"
 
--- a/test/unit/route_choice.cpp
+++ b/test/unit/route_choice.cpp
@@ -7,25 +7,26 @@
 
 namespace {
 
-/// Three zones with two workers of 20 slots each, which carry 1000 calls a
-/// second a zone, and four entries.
+/// Three zones with two workers of 20 slots each, with a capacity of 1000 calls per
+/// second and zone, and four entry nodes.
 struct route_choice_fixture
 {
-    route_experiment e{
+    route_experiment experiment{
         2026,
         {"a", "a", "b", "c"},
-        [](router &r, const member_table &m, const route_request &w, random_source &rnd,
-           time_point now) { return choose_upstream(r, m, w, rnd, now); }};
-    const std::vector<double> even{250, 250, 500, 500};
+        [](router &routes, const member_table &members, const route_request &request,
+           random_source &random,
+           time_point now) { return choose_upstream(routes, members, request, random, now); }};
+    const std::vector<double> even_load{250, 250, 500, 500};
 
     route_choice_fixture()
     {
         for (const char *zone : {"a", "b", "c"}) {
             for (int i = 0; i < 2; ++i) {
-                e.add_worker(std::string(zone) + "-" + std::to_string(i), zone, 20);
+                experiment.add_worker(std::string(zone) + "-" + std::to_string(i), zone, 20);
             }
         }
-        e.run(5, even);
+        experiment.run(5, even_load);
     }
 
     static double share(std::uint64_t n, const route_outcome &of)
@@ -38,63 +39,63 @@
 
 TEST_CASE_FIXTURE(route_choice_fixture, "zones, even load, calls stay in their own zone")
 {
-    route_outcome out = e.run(20, even);
+    route_outcome out = experiment.run(20, even_load);
     CHECK(out.failed == 0);
     CHECK(share(out.far, out) < 0.04);
 }
 
-// Story: one zone's callers ask for half as much again as its workers can do,
-// while the other zones are half idle. Calls wait and fail in the one zone.
+// The load of one zone is 1.5 times the capacity of its workers, while the other zones
+// are half idle. Without spill-over, calls queue and fail in the overloaded zone.
 TEST_CASE_FIXTURE(route_choice_fixture,
                   "zone over its capacity, others idle, spills without failures")
 {
-    route_outcome out = e.run(20, {750, 750, 250, 250});
+    route_outcome out = experiment.run(20, {750, 750, 250, 250});
     CHECK(out.failed == 0);
     CHECK(out.quantile(0.99) < 100);
     CHECK(share(out.far, out) < 0.35);
 }
 
-// Story: one worker is five times slower. It gets as many calls as the others,
-// its queue grows, and one caller in six waits for it.
+// One worker is five times slower. If it receives as many calls as the others, its
+// queue grows and one in six calls waits for it.
 TEST_CASE_FIXTURE(route_choice_fixture, "worker five times slower, tail of all calls stays short")
 {
-    e.worker("b-0").slowness = 5;
-    route_outcome out = e.run(20, even);
+    experiment.worker("b-0").slowness = 5;
+    route_outcome out = experiment.run(20, even_load);
     CHECK(out.failed == 0);
     CHECK(out.quantile(0.99) < 70);
 }
 
-// Story: a worker refuses every call at once. To a router that counts refusals
-// as quick answers it is the fastest one: a quarter of all calls failed.
+// A worker refuses every call at once. A router that counts refusals as fast answers
+// prefers this worker; a quarter of all calls failed that way.
 TEST_CASE_FIXTURE(route_choice_fixture, "worker refuses at once, draws no calls to itself")
 {
-    e.worker("b-0").refusing = true;
-    route_outcome out = e.run(20, even);
+    experiment.worker("b-0").refusing = true;
+    route_outcome out = experiment.run(20, even_load);
     CHECK(share(out.failed, out) < 0.005);
 }
 
-// Story: a worker takes calls and never answers; each costs its caller the
-// whole time left.
+// A worker accepts calls and never answers. Each such call uses up the remaining time
+// of its caller.
 TEST_CASE_FIXTURE(route_choice_fixture, "worker silent, few calls are lost to it")
 {
-    e.worker("b-0").silent = true;
-    route_outcome out = e.run(20, even);
+    experiment.worker("b-0").silent = true;
+    route_outcome out = experiment.run(20, even_load);
     CHECK(share(out.failed, out) < 0.005);
 }
 
-// Story: a replaced worker joins and is slow while its caches are empty. A
-// router that takes it for the fastest sends it a burst.
+// A replaced worker joins and is slow while its caches are cold. A router that assumes
+// it to be the fastest sends it a burst of calls.
 TEST_CASE_FIXTURE(route_choice_fixture, "new worker, cold, gets its share slowly")
 {
-    e.add_worker("b-2", "b", 20);
-    e.worker("b-2").slowness = 4;
-    route_outcome out = e.run(3, even);
+    experiment.add_worker("b-2", "b", 20);
+    experiment.worker("b-2").slowness = 4;
+    route_outcome out = experiment.run(3, even_load);
     CHECK(out.failed == 0);
     CHECK(out.quantile(0.99) < 100);
 }
 
-// Story: a node's own network is bad, and every upstream fails for it. If it
-// passes them all over it has none left, and refuses what would have worked.
+// The network of a node is faulty and every upstream seems to fail. If the node ejects
+// all of them, it refuses calls that would have succeeded.
 TEST_CASE("ejection, more than half of a service fails, none is passed over")
 {
     member_table members;
@@ -102,31 +103,31 @@
     random_source random(1);
     time_point now{seconds(1000)};
     for (int i = 0; i < 4; ++i) {
-        member news;
-        news.instance = "s-" + std::to_string(i);
-        news.service = "s";
-        news.incarnation = 1;
-        news.state = wire::member_state::alive;
-        learn_member(members, news);
+        member added;
+        added.instance = "s-" + std::to_string(i);
+        added.service = "s";
+        added.incarnation = 1;
+        added.state = wire::member_state::alive;
+        learn_member(members, added);
     }
-    route_request wanted{"s", "entry", "a", {}, false};
-    REQUIRE(choose_upstream(routes, members, wanted, random, now).has_value());
+    route_request request{"s", "entry", "a", {}, false};
+    REQUIRE(choose_upstream(routes, members, request, random, now).has_value());
     std::set<std::string> chosen;
-    auto fail = [&](const std::string &instance) {
+    auto eject = [&](const std::string &instance) {
         for (int i = 0; i < 3; ++i) {
             note_failed(routes, instance, now);
         }
     };
-    auto choose_many = [&] {
+    auto count_chosen = [&] {
         chosen.clear();
         for (int i = 0; i < 200; ++i) {
-            chosen.insert(*choose_upstream(routes, members, wanted, random, now));
+            chosen.insert(*choose_upstream(routes, members, request, random, now));
         }
         return chosen.size();
     };
-    fail("s-0");
-    fail("s-1");
-    CHECK(choose_many() == 2);
-    fail("s-2");
-    CHECK(choose_many() == 4);
+    eject("s-0");
+    eject("s-1");
+    CHECK(count_chosen() == 2);
+    eject("s-2");
+    CHECK(count_chosen() == 4);
 }
--- a/test/unit/suspects_crash.cpp
+++ b/test/unit/suspects_crash.cpp
@@ -30,9 +30,9 @@
 
 const std::vector<std::string> zones{"midrand", "germiston", "centurion"};
 
-/// Three workers of one service in each of three zones. A request whose body
-/// begins with 66 crashes its worker, which takes all runs in flight with it;
-/// the worker is back 500 ms later.
+/// Three workers of one service in each of three zones. A request whose body starts
+/// with 66 crashes its worker, which loses all runs in flight. The worker restarts
+/// after 500 ms.
 struct suspects_fixture
 {
     test::test_publisher publisher;
@@ -48,7 +48,7 @@
     {
         publisher.publish(w.platform, bundle_text);
         w.on_run = [this](const std::string &instance, run_on_worker &&run) {
-            run_it(instance, std::move(run));
+            execute_run(instance, std::move(run));
         };
         w.on_cancel = [this](const std::string &instance, run_ref run) {
             running[instance].erase(run);
@@ -57,7 +57,7 @@
             answers[call] = std::move(answer);
         };
         for (std::size_t i = 0; i < 9; ++i) {
-            add(i);
+            add_node_number(i);
         }
         w.run_for(seconds(4));
     }
@@ -67,13 +67,13 @@
         return "boxwatch-" + std::to_string(i);
     }
 
-    void add(std::size_t i)
+    void add_node_number(std::size_t i)
     {
         w.add_node(test::make_settings(name(i), zones[i / 3], "boxwatch",
                                        static_cast<std::uint16_t>(i), 8, publisher.trusted()));
     }
 
-    void run_it(const std::string &instance, run_on_worker &&run)
+    void execute_run(const std::string &instance, run_on_worker &&run)
     {
         if (down.count(instance) > 0) {
             w.after(milliseconds(1), [this, instance, id = run.run] {
@@ -105,7 +105,7 @@
         if (nodes_crash_too) {
             std::size_t i = static_cast<std::size_t>(instance.back() - '0');
             w.kill(instance);
-            w.after(milliseconds(500), [this, i] { add(i); });
+            w.after(milliseconds(500), [this, i] { add_node_number(i); });
             return;
         }
         down.insert(instance);
@@ -122,8 +122,8 @@
                       caller_call{"boxwatch", operation, request, key, "", {}, {first, 1}});
     }
 
-    /// The caller sends the crasher again and again, through all zones.
-    void repeat_crasher(int times, duration gap)
+    /// Sends the crashing request repeatedly, rotating through all zones.
+    void send_poison_requests(int times, duration gap)
     {
         for (int i = 0; i < times; ++i) {
             last_sent = send(static_cast<std::size_t>((i * 3) % 9), "crasher", 66);
@@ -131,7 +131,7 @@
         }
     }
 
-    void turn_off_refusals()
+    void disable_refusals()
     {
         for (auto &[instance, it] : w.nodes) {
             it.suspects.refuse_crashers = false;
@@ -143,20 +143,20 @@
 
 }  // namespace
 
-// Story: one malformed status query crashes every worker that runs it. Its
-// caller gets no answer and sends it again through the next zone, and one
-// worker after another goes down until no box status can be read at all.
+// Guards against a poison request. A malformed status query crashes every worker that
+// runs it. Its caller receives no answer and retries through the next zone, which
+// crashes one worker after another until the whole service is unavailable.
 TEST_CASE_FIXTURE(suspects_fixture, "crasher, repeated in three zones, takes down two workers")
 {
-    SUBCASE("guard off: it goes on")
+    SUBCASE("guard off: crashes continue")
     {
-        turn_off_refusals();
-        repeat_crasher(12, milliseconds(300));
+        disable_refusals();
+        send_poison_requests(12, milliseconds(300));
         CHECK(crashes > 2);
     }
     SUBCASE("guard on")
     {
-        repeat_crasher(12, milliseconds(300));
+        send_poison_requests(12, milliseconds(300));
         CHECK(crashes == 2);
         CHECK(answers.at(last_sent).refusal == wire::refusal::suspect);
         CHECK(answers.at(last_sent).outcome == wire::outcome::unknown);
@@ -166,13 +166,13 @@
 TEST_CASE_FIXTURE(suspects_fixture, "crasher, platform out, takes down two workers")
 {
     w.platform.outage = true;
-    repeat_crasher(12, milliseconds(300));
+    send_poison_requests(12, milliseconds(300));
     CHECK(crashes == 2);
 }
 
 TEST_CASE_FIXTURE(suspects_fixture, "crasher, refused everywhere, answered at once")
 {
-    repeat_crasher(3, milliseconds(300));
+    send_poison_requests(3, milliseconds(300));
     for (std::size_t entry = 0; entry < 9; ++entry) {
         call_ref id = send(entry, "crasher", 66);
         REQUIRE(answers.count(id) == 1);
@@ -185,7 +185,7 @@
 {
     w.cuts.insert({"midrand", "germiston"});
     w.cuts.insert({"midrand", "centurion"});
-    repeat_crasher(24, milliseconds(300));
+    send_poison_requests(24, milliseconds(300));
     CHECK(crashes <= 4);
     CHECK(answers.at(last_sent).refusal == wire::refusal::suspect);
 }
@@ -193,7 +193,8 @@
 TEST_CASE_FIXTURE(suspects_fixture, "crasher, its nodes die with their workers, takes down two")
 {
     nodes_crash_too = true;
-    // The entry is never the node that dies: the first node of each zone sends on.
+    // The entry node never dies: the first node of each zone, ejected as an upstream of
+    // its own, forwards to others.
     for (int i = 0; i < 12; ++i) {
         std::size_t entry = static_cast<std::size_t>((i * 3) % 9);
         std::string own = name(entry);
@@ -208,20 +209,20 @@
     CHECK(crashes == 2);
 }
 
-// Story: six status queries run on the worker that the crasher takes down. They
-// are suspects like it; if they stayed so, or met the crasher again on its next
-// worker, callers of sound requests would be refused for good.
-TEST_CASE_FIXTURE(suspects_fixture, "innocent requests, in flight at crashes, served in the end")
+// Guards against permanent refusal of valid requests. Six status queries are in flight
+// on the worker that the poison request crashes, and become suspects too. They must be
+// cleared, and must not run beside the poison request on its next worker.
+TEST_CASE_FIXTURE(suspects_fixture, "valid requests, in flight at crashes, served in the end")
 {
-    std::vector<call_ref> innocent;
-    innocent.reserve(48);
+    std::vector<call_ref> valid;
+    valid.reserve(48);
     for (int i = 0; i < 48; ++i) {
-        innocent.push_back(send(static_cast<std::size_t>(i % 9), "query-" + std::to_string(i), 1));
+        valid.push_back(send(static_cast<std::size_t>(i % 9), "query-" + std::to_string(i), 1));
     }
     w.run_for(milliseconds(5));
-    repeat_crasher(1, milliseconds(20));
-    CHECK(w.nodes.at(name(0)).suspects.suspects.size() > 1);  // innocent ones too
-    repeat_crasher(6, milliseconds(400));
+    send_poison_requests(1, milliseconds(20));
+    CHECK(w.nodes.at(name(0)).suspects.suspects.size() > 1);  // includes valid requests
+    send_poison_requests(6, milliseconds(400));
     w.run_for(seconds(3));
     CHECK(crashes == 2);
     int refused = 0;
@@ -232,13 +233,13 @@
     }
     CHECK(refused == 0);
     for (auto &[instance, it] : w.nodes) {
-        CHECK(it.suspects.suspects.size() == 1);  // the crasher alone
+        CHECK(it.suspects.suspects.size() == 1);  // only the poison request
     }
 }
 
-// Story: a zone is cut off while queries run there. To the others every node of
-// the zone falls silent, as if it had crashed; a query that was sent into the
-// zone twice must not be refused for good because of it.
+// A zone is partitioned while queries run there. For the other zones all its nodes
+// become silent as if they had crashed. A query that was sent into the zone twice must
+// not be refused permanently because of that.
 TEST_CASE_FIXTURE(suspects_fixture, "zone cut off, queries in flight, no suspects remain")
 {
     for (auto &[instance, it] : w.nodes) {
@@ -259,7 +260,7 @@
 
 TEST_CASE_FIXTURE(suspects_fixture, "two suspects, sent together, do not share a worker")
 {
-    // Both were in flight at one crash; only one of them is the cause.
+    // Both requests were in flight at one crash that only one of them caused.
     auto suspects_after = [this](bool alone) {
         for (auto &[instance, it] : w.nodes) {
             it.suspects.run_alone = alone;
@@ -276,7 +277,7 @@
         w.kill(name(i));
     }
     w.run_for(seconds(8));
-    SUBCASE("guard off: the innocent one is refused too")
+    SUBCASE("guard off: the valid request is refused too")
     {
         CHECK(suspects_after(false) == crashes_to_refuse);
     }
