--- a/gullstall/src/edge/byte_packer.cpp
+++ b/gullstall/src/edge/byte_packer.cpp
@@ -8,69 +8,70 @@
 
 namespace {
 
-/// Distance over which repetitions are found: 8 KiB hold the last twenty frames
-/// or so. With the memory level below a connection takes 100 KiB at its sender
-/// and 20 KiB at its receiver, 14 MiB for links to 57 nodes of other zones.
+/// An 8 KiB window holds about the last twenty frames. With the memory level below, a
+/// connection takes 100 KiB at the sender and 20 KiB at the receiver, or 14 MiB for
+/// connections to 57 nodes of other zones.
 constexpr int window_bits = 13;
 constexpr int memory_level = 7;
 
-/// Without a stream header and a checksum: TCP has one, and frames are verified.
-constexpr int raw_window = -window_bits;
+/// Raw deflate without header and checksum: TCP has a checksum, and frames are
+/// verified.
+constexpr int raw_window_bits = -window_bits;
 
-/// End of each flushed block. It is the same every time and is not sent.
-constexpr std::string_view flush_mark("\x00\x00\xff\xff", 4);
+/// Trailer of each sync-flushed block. It is constant and is not sent.
+constexpr std::string_view sync_flush_trailer("\x00\x00\xff\xff", 4);
 
 constexpr std::size_t chunk_bytes = 16384;
 
 Bytef *input_of(std::string_view bytes)
 {
-    // zlib does not write to its input, its interface only lacks the const.
+    // zlib does not modify its input; its API merely lacks the const.
     return reinterpret_cast<Bytef *>(const_cast<char *>(bytes.data()));
 }
 
 }  // namespace
 
-void end_deflate::operator()(z_stream_s *it) const
+void deflate_deleter::operator()(z_stream_s *it) const
 {
     deflateEnd(it);
     delete it;
 }
 
-void end_inflate::operator()(z_stream_s *it) const
+void inflate_deleter::operator()(z_stream_s *it) const
 {
     inflateEnd(it);
     delete it;
 }
 
-result<byte_packer> make_packer()
+result<frame_compressor> make_compressor()
 {
     auto stream = std::make_unique<z_stream>();
-    int rc = deflateInit2(stream.get(), Z_BEST_SPEED, Z_DEFLATED, raw_window, memory_level,
+    int rc = deflateInit2(stream.get(), Z_BEST_SPEED, Z_DEFLATED, raw_window_bits, memory_level,
                           Z_DEFAULT_STRATEGY);
     if (rc != Z_OK) {
-        return error{error_code::unavailable, "no memory to pack a connection's frames"};
+        return error{error_code::unavailable, "out of memory for the frame compressor"};
     }
-    byte_packer out;
+    frame_compressor out;
     out.stream.reset(stream.release());
     return out;
 }
 
-result<byte_unpacker> make_unpacker()
+result<frame_decompressor> make_decompressor()
 {
     auto stream = std::make_unique<z_stream>();
-    if (inflateInit2(stream.get(), raw_window) != Z_OK) {
-        return error{error_code::unavailable, "no memory to unpack a connection's frames"};
+    if (inflateInit2(stream.get(), raw_window_bits) != Z_OK) {
+        return error{error_code::unavailable, "out of memory for the frame decompressor"};
     }
-    byte_unpacker out;
+    frame_decompressor out;
     out.stream.reset(stream.release());
     return out;
 }
 
-std::string pack_bytes(byte_packer &it, std::string_view bytes)
+std::string compress_bytes(frame_compressor &it, std::string_view bytes)
 {
     std::string out;
     if (bytes.empty()) {
-        return out;  // zlib flushes nothing when nothing is new
+        return out;  // zlib does not flush when there is no new input
     }
     z_stream &stream = *it.stream;
     std::array<char, chunk_bytes> chunk;
@@ -82,13 +83,14 @@
         deflate(&stream, Z_SYNC_FLUSH);
         out.append(chunk.data(), chunk_bytes - stream.avail_out);
     } while (stream.avail_out == 0);
-    if (out.ends_with(flush_mark)) {
-        out.resize(out.size() - flush_mark.size());
+    if (out.ends_with(sync_flush_trailer)) {
+        out.resize(out.size() - sync_flush_trailer.size());
     }
     return out;
 }
 
-result<std::string> unpack_bytes(byte_unpacker &it, std::string_view bytes, std::size_t most)
+result<std::string> decompress_bytes(frame_decompressor &it, std::string_view bytes,
+                                     std::size_t max_bytes)
 {
     std::string out;
     if (bytes.empty()) {
@@ -97,7 +99,7 @@
     z_stream &stream = *it.stream;
     std::array<char, chunk_bytes> chunk;
     std::string whole(bytes);
-    whole += flush_mark;
+    whole += sync_flush_trailer;
     stream.next_in = input_of(whole);
     stream.avail_in = static_cast<uInt>(whole.size());
     do {
@@ -105,11 +107,11 @@
         stream.avail_out = chunk_bytes;
         int rc = inflate(&stream, Z_SYNC_FLUSH);
         if (rc != Z_OK && rc != Z_BUF_ERROR) {
-            return error{error_code::bad_syntax, "packed bytes can't be read"};
+            return error{error_code::bad_syntax, "invalid compressed data"};
         }
         out.append(chunk.data(), chunk_bytes - stream.avail_out);
-        if (out.size() > most) {
-            return error{error_code::too_large, "packed bytes hold too much"};
+        if (out.size() > max_bytes) {
+            return error{error_code::too_large, "decompressed data exceeds the limit"};
         }
     } while (stream.avail_out == 0);
     return out;
--- a/gullstall/src/edge/byte_packer.hpp
+++ b/gullstall/src/edge/byte_packer.hpp
@@ -11,42 +11,44 @@
 
 namespace gullstall::edge {
 
-/// Ends a zlib stream and frees it.
-struct end_deflate
+/// Deleters that end a zlib stream and free it.
+struct deflate_deleter
 {
     void operator()(z_stream_s *it) const;
 };
-struct end_inflate
+struct inflate_deleter
 {
     void operator()(z_stream_s *it) const;
 };
 
-/// Compression of all that one side of a connection sends. Frames repeat the
-/// names of routes, services and header fields, so that what went before makes
-/// the next one small.
-struct byte_packer
+/// Deflate stream for all frames sent in one direction of a connection. Frames repeat
+/// the names of routes, services and header fields, so that a shared history
+/// compresses them well.
+struct frame_compressor
 {
-    std::unique_ptr<z_stream_s, end_deflate> stream;
+    std::unique_ptr<z_stream_s, deflate_deleter> stream;
 };
 
-/// The other side of a byte_packer.
-struct byte_unpacker
+/// The receiving side of a frame_compressor.
+struct frame_decompressor
 {
-    std::unique_ptr<z_stream_s, end_inflate> stream;
+    std::unique_ptr<z_stream_s, inflate_deleter> stream;
 };
 
-/// \returns a packer with an empty history, or unavailable without memory
-result<byte_packer> make_packer();
-result<byte_unpacker> make_unpacker();
+/// \returns a compressor with an empty history, or error_code::unavailable when out of
+/// memory
+result<frame_compressor> make_compressor();
+result<frame_decompressor> make_decompressor();
 
-/// \returns \a bytes compressed, complete in itself given all that was packed
-/// before
-std::string pack_bytes(byte_packer &it, std::string_view bytes);
+/// \returns \a bytes compressed and flushed, so that they can be decompressed given
+/// all preceding output
+std::string compress_bytes(frame_compressor &it, std::string_view bytes);
 
-/// \param most bytes that the result may have
-/// \returns what was packed, bad_syntax for bytes that no packer made, or
-/// too_large
-result<std::string> unpack_bytes(byte_unpacker &it, std::string_view bytes, std::size_t most);
+/// \param max_bytes limit of the decompressed size
+/// \returns the decompressed bytes, error_code::bad_syntax for invalid input, or
+/// error_code::too_large
+result<std::string> decompress_bytes(frame_decompressor &it, std::string_view bytes,
+                                     std::size_t max_bytes);
 
 }  // namespace gullstall::edge
 
--- a/gullstall/src/edge/chain_store.cpp
+++ b/gullstall/src/edge/chain_store.cpp
@@ -7,11 +7,11 @@
 
 namespace {
 
-void take_row(chain_store &it, const table_row &row)
+void load_row(chain_store &it, const table_row &row)
 {
     std::string route = row.key.substr(it.prefix.size());
     it.versions[route] = row.version;
-    result<mesh::calls_per_run> calls = it.format.read(row.value);
+    result<mesh::calls_per_run> calls = it.format.parse(row.value);
     if (!succeeded(calls)) {
         it.log(write_line{write_line::severity::warning,
                           "store",
@@ -19,7 +19,7 @@
                           {{"route", route}, {"error", error_of(calls).message}}});
         return;
     }
-    it.found(route, value_of(calls));
+    it.on_chain(route, value_of(calls));
 }
 
 }  // namespace
@@ -29,10 +29,10 @@
     std::uint32_t failures = 0;
     while (true) {
         platform_request scan = table_scan{it.prefix};
-        platform_answer all = co_await it.ask(scan);
+        platform_answer all = co_await it.call(scan);
         if (all.status == platform_status::done) {
             for (const table_row &row : all.rows) {
-                take_row(it, row);
+                load_row(it, row);
             }
             it.log(write_line{write_line::severity::info,
                               "store",
@@ -44,21 +44,22 @@
             it.log(write_line{
                 write_line::severity::warning, "store", "store-lost", {{"table", it.prefix}}});
         }
-        co_await wait_for(io, draw_store_pause(it.random, failures));
+        co_await async_sleep(io, draw_store_backoff(it.random, failures));
     }
 }
 
 asio::awaitable<void> save_chain(chain_store &it, std::string route, mesh::calls_per_run calls)
 {
-    platform_request write =
-        table_commit{{row_write{it.prefix + route, it.versions[route], it.format.print(calls)}}};
-    platform_answer written = co_await it.ask(write);
+    platform_request write = table_commit{
+        {row_write{it.prefix + route, it.versions[route], it.format.serialize(calls)}}};
+    platform_answer written = co_await it.call(write);
     if (written.status == platform_status::conflict) {
         for (const table_row &row : written.rows) {
-            take_row(it, row);
+            load_row(it, row);
         }
     }
-    // Without an answer the row may stand or not; the next change tells.
+    // After a lost response the row may or may not be written; the next save finds
+    // out.
     it.log(write_line{write_line::severity::info,
                       "store",
                       written.status == platform_status::done ? "chain-saved" : "chain-not-saved",
--- a/gullstall/src/edge/chain_store.hpp
+++ b/gullstall/src/edge/chain_store.hpp
@@ -10,32 +10,33 @@
 
 namespace gullstall::edge {
 
-/// How the rows of a chain store are written.
+/// Serialization of the rows of a chain_store.
 struct chain_row_format
 {
-    std::function<std::string(const mesh::calls_per_run &)> print;
-    std::function<result<mesh::calls_per_run>(std::string_view)> read;
+    std::function<std::string(const mesh::calls_per_run &)> serialize;
+    std::function<result<mesh::calls_per_run>(std::string_view)> parse;
 };
 
-/// What runs of each route call, kept in the platform's store: a row a route. When all
-/// nodes lose power at once, nobody remembers it, and nodes that must learn it anew let
-/// in requests whose calls meet services that are not back yet.
+/// Persists in the platform's store, one row per route, which calls the runs of each
+/// route make. After a power failure of all nodes none has this in memory, and nodes
+/// that had to learn it again would admit requests whose calls reach services that are
+/// not up yet.
 struct chain_store
 {
-    std::string prefix;  ///< of the rows of all routes
-    ask_store ask;
+    std::string prefix;  ///< key prefix of all rows
+    ask_store call;
     chain_row_format format;
-    std::function<void(const std::string &, const mesh::calls_per_run &)> found;
+    std::function<void(const std::string &, const mesh::calls_per_run &)> on_chain;
     std::function<void(const mesh::write_line &)> log;
     random_source random;
     std::map<std::string, std::uint64_t> versions;  ///< of the rows, by route
 };
 
-/// Reads all rows; tries until the store answers.
+/// Reads all rows, retrying until the store responds.
 boost::asio::awaitable<void> load_chains(boost::asio::io_context &io, chain_store &it);
 
-/// Writes the row of a route. Where another node was faster, its row stands and is
-/// told: both have seen runs of the same service.
+/// Writes the row of a route. On a conflict the row that another node wrote is kept
+/// and passed to `on_chain`: both nodes have observed runs of the same service.
 boost::asio::awaitable<void> save_chain(chain_store &it, std::string route,
                                         mesh::calls_per_run calls);
 
--- a/gullstall/src/edge/clock.hpp
+++ b/gullstall/src/edge/clock.hpp
@@ -5,12 +5,12 @@
 
 namespace gullstall::edge {
 
-/// \returns the time since the instance started. It counts the time in which
-/// the instance was suspended, which the steady clock leaves out: deadlines
-/// would seem seconds away that have passed long ago.
+/// \returns the time since the instance booted, including time in suspension. The
+/// steady clock omits suspension, so that deadlines that have long passed would appear
+/// to be seconds away.
 time_point now();
 
-/// \returns the time of day, Unix milliseconds
+/// \returns the wall-clock time in Unix milliseconds
 std::uint64_t unix_ms();
 
 }  // namespace gullstall::edge
--- a/gullstall/src/edge/edge_connection.cpp
+++ b/gullstall/src/edge/edge_connection.cpp
@@ -19,45 +19,46 @@
 
 namespace {
 
-/// Requests of one connection that wait for their answers. Beyond it nothing
-/// more is read, so that a client can't fill the memory by not reading.
-constexpr std::size_t max_pipeline = 32;
+/// Limit of pipelined requests per connection. At the limit reading pauses, so that a
+/// client that does not read its responses can't exhaust the memory.
+constexpr std::size_t max_pipelined_requests = 32;
 
-/// Time for which a client's bytes are still read after the last answer.
-/// Closing with unread bytes would reset the connection and destroy the answer.
+/// Time for which input is read and discarded after the last response. Closing a
+/// socket with unread input sends a reset, which can destroy the response before the
+/// client reads it.
 constexpr duration linger_time = seconds(1);
 
-/// Time that a client may leave an answer unread.
+/// Longest time to write one response to a client that does not read.
 constexpr duration write_timeout = seconds(10);
 
-/// A body may take longer than a header: this many times the header's timeout.
+/// The timeout for a request with a body, as a multiple of the header timeout.
 constexpr int body_timeout_factor = 4;
 
-struct refusal
+struct rejection
 {
     std::uint16_t status;
     const char *text;
 };
 
-/// \returns how an unreadable request is refused, none when nobody is there to
-/// be told
-std::optional<refusal> refusal_for(const error_code &ec)
+/// \returns the error response to a request that can't be parsed, or none when the
+/// client has closed the connection
+std::optional<rejection> rejection_for(const error_code &ec)
 {
     if (ec == http::error::body_limit) {
-        return refusal{413, "Payload Too Large"};
+        return rejection{413, "Payload Too Large"};
     }
     if (ec == http::error::header_limit || ec == http::error::buffer_overflow) {
-        return refusal{431, "Request Header Fields Too Large"};
+        return rejection{431, "Request Header Fields Too Large"};
     }
     bool is_protocol = ec.category() == http::make_error_code(http::error::bad_method).category();
     if (!is_protocol || ec == http::error::end_of_stream || ec == http::error::partial_message) {
         return std::nullopt;
     }
-    return refusal{400, "Bad Request"};
+    return rejection{400, "Bad Request"};
 }
 
-/// \returns whether the header says in two ways where the body ends, or names
-/// the host twice: a server behind may read another request out of it
+/// \returns whether the header has conflicting body lengths or several Host fields,
+/// which allow request smuggling to a server behind this one
 bool is_ambiguous(const http::fields &fields)
 {
     auto count = [&](http::field name) {
@@ -74,7 +75,7 @@
     : owner_(owner),
       id_(id),
       socket_(std::move(socket)),
-      room_(owner.io_, asio::steady_timer::time_point::max()),
+      pipeline_space_(owner.io_, asio::steady_timer::time_point::max()),
       idle_since_(now())
 {
 }
@@ -84,19 +85,19 @@
     auto self = shared_from_this();
     runtime::set_tcp_options(socket_);
     bool more = true;
-    while (more && reading_ && !lost_) {
+    while (more && accepts_requests_ && !closed_) {
         more = co_await read_request();
     }
-    co_await discard();
-    lose();
+    co_await drain_input();
+    close_connection();
 }
 
 asio::awaitable<bool> edge_connection::read_request()
 {
-    while (pipeline_.size() >= max_pipeline && !lost_) {
+    while (pipeline_.size() >= max_pipelined_requests && !closed_) {
         error_code ec;
-        room_.expires_at(asio::steady_timer::time_point::max());
-        co_await room_.async_wait(asio::redirect_error(asio::use_awaitable, ec));
+        pipeline_space_.expires_at(asio::steady_timer::time_point::max());
+        co_await pipeline_space_.async_wait(asio::redirect_error(asio::use_awaitable, ec));
     }
     parser_.emplace();
     parser_->header_limit(owner_.limits_.header_bytes);
@@ -105,46 +106,46 @@
     co_await http::async_read_header(socket_, buf_, *parser_,
                                      asio::redirect_error(asio::use_awaitable, ec));
     if (!ec && !parser_->is_done()) {
-        co_await allow_body();
+        co_await send_continue();
         co_await http::async_read(socket_, buf_, *parser_,
                                   asio::redirect_error(asio::use_awaitable, ec));
     }
-    request_since_.reset();
+    partial_request_since_.reset();
     if (closing_since_) {
         co_return false;
     }
     if (ec) {
-        refuse_unreadable(ec);
+        reject_unparsable(ec);
         co_return false;
     }
-    co_return take_request();
+    co_return dispatch_request();
 }
 
-asio::awaitable<void> edge_connection::allow_body()
+asio::awaitable<void> edge_connection::send_continue()
 {
     if (!boost::beast::iequals(parser_->get()[http::field::expect], "100-continue") ||
         !pipeline_.empty()) {
         co_return;
     }
-    static constexpr std::string_view go_on = "HTTP/1.1 100 Continue\r\n\r\n";
+    static constexpr std::string_view continue_response = "HTTP/1.1 100 Continue\r\n\r\n";
     error_code ec;
-    co_await asio::async_write(socket_, asio::buffer(go_on),
+    co_await asio::async_write(socket_, asio::buffer(continue_response),
                                asio::redirect_error(asio::use_awaitable, ec));
 }
 
-bool edge_connection::take_request()
+bool edge_connection::dispatch_request()
 {
     auto message = parser_->release();
     parser_.reset();
     if (is_ambiguous(message)) {
-        refuse(400, "Bad Request");
+        reject(400, "Bad Request");
         return false;
     }
     call_ref id{++owner_.last_id_};
     bool keep_alive = message.keep_alive();
     pipeline_.push_back(exchange{id, message.method() == http::verb::head, keep_alive, {}, {}});
-    reading_ = reading_ && keep_alive;
-    owner_.waiting_[id] = shared_from_this();
+    accepts_requests_ = accepts_requests_ && keep_alive;
+    owner_.pending_[id] = shared_from_this();
     edge_request request;
     request.method = std::string(message.method_string());
     request.target = std::string(message.target());
@@ -152,51 +153,51 @@
     request.fields = std::move(message.base());
     error_code ec;
     request.remote_address = socket_.remote_endpoint(ec).address().to_string();
-    owner_.handlers_.requested(id, std::move(request));
+    owner_.handlers_.on_request(id, std::move(request));
     return true;
 }
 
-void edge_connection::refuse_unreadable(const error_code &ec)
+void edge_connection::reject_unparsable(const error_code &ec)
 {
-    if (std::optional<refusal> known = refusal_for(ec)) {
-        refuse(known->status, known->text);
+    if (std::optional<rejection> known = rejection_for(ec)) {
+        reject(known->status, known->text);
         return;
     }
-    lose();
+    close_connection();
 }
 
-void edge_connection::refuse(std::uint16_t status, const char *text)
+void edge_connection::reject(std::uint16_t status, const char *text)
 {
     call_ref id{++owner_.last_id_};
     pipeline_.push_back(exchange{id, false, false, {}, {}});
-    reading_ = false;
-    answer(id, edge_answer{status, text, "", {}, true});
+    accepts_requests_ = false;
+    respond(id, edge_answer{status, text, "", {}, true});
 }
 
-void edge_connection::answer(call_ref id, edge_answer &&answer)
+void edge_connection::respond(call_ref id, edge_answer &&response)
 {
-    owner_.waiting_.erase(id);
+    owner_.pending_.erase(id);
     auto it = std::find_if(pipeline_.begin(), pipeline_.end(),
                            [id](const exchange &each) { return each.id == id; });
-    if (it == pipeline_.end() || lost_) {
+    if (it == pipeline_.end() || closed_) {
         return;
     }
     bool is_last = &*it == &pipeline_.back();
-    it->close = answer.close || !it->keep_alive || (owner_.closing_ && is_last);
-    std::string head = "HTTP/1.1 " + std::to_string(answer.status) + " " + answer.status_text +
-                       "\r\n" + answer.header_lines +
-                       "Content-Length: " + std::to_string(answer.body.size()) + "\r\n" +
+    it->close = response.close || !it->keep_alive || (owner_.draining_ && is_last);
+    std::string head = "HTTP/1.1 " + std::to_string(response.status) + " " + response.status_text +
+                       "\r\n" + response.header_lines +
+                       "Content-Length: " + std::to_string(response.body.size()) + "\r\n" +
                        (it->close ? "Connection: close\r\n\r\n" : "\r\n");
     it->head = std::move(head);
     if (!it->is_head) {
-        it->body = std::move(answer.body);
+        it->body = std::move(response.body);
     }
-    write_next();
+    write_next_response();
 }
 
-void edge_connection::write_next()
+void edge_connection::write_next_response()
 {
-    if (writing_ || lost_ || pipeline_.empty() || !pipeline_.front().head) {
+    if (writing_ || closed_ || pipeline_.empty() || !pipeline_.front().head) {
         return;
     }
     writing_ = true;
@@ -206,106 +207,107 @@
     asio::async_write(socket_, bytes, [self = shared_from_this()](const error_code &ec, auto) {
         self->writing_ = false;
         self->write_since_.reset();
-        if (ec || self->lost_) {
-            self->lose();
+        if (ec || self->closed_) {
+            self->close_connection();
             return;
         }
         bool close = self->pipeline_.front().close;
         self->pipeline_.pop_front();
         self->idle_since_ = now();
-        self->room_.cancel();
+        self->pipeline_space_.cancel();
         if (close) {
-            self->end_after_answer();
+            self->begin_lingering_close();
             return;
         }
-        self->write_next();
+        self->write_next_response();
     });
 }
 
-/// Ends the connection after an answer that said so. Requests behind it were
-/// not passed on, or are broken off: the client sends them again.
-void edge_connection::end_after_answer()
+/// Half-closes the connection when it is idle or has sent a response with
+/// "Connection: close". Pipelined requests behind that response were not dispatched or
+/// are abandoned; the client has to resend them.
+void edge_connection::begin_lingering_close()
 {
-    reading_ = false;
+    accepts_requests_ = false;
     closing_since_ = now();
     for (exchange &behind : pipeline_) {
         if (!behind.head) {
-            owner_.waiting_.erase(behind.id);
-            owner_.handlers_.abandoned(behind.id);
+            owner_.pending_.erase(behind.id);
+            owner_.handlers_.on_abandoned(behind.id);
         }
     }
     pipeline_.clear();
     error_code ec;
     socket_.shutdown(asio::ip::tcp::socket::shutdown_send, ec);
-    // The read in progress ends: from now on bytes are only discarded.
+    // Aborts the pending read; drain_input() discards all further input.
     socket_.cancel(ec);
 }
 
-asio::awaitable<void> edge_connection::discard()
+asio::awaitable<void> edge_connection::drain_input()
 {
-    constexpr std::size_t discard_bytes = 16384;
-    std::vector<char> sink(discard_bytes);
+    constexpr std::size_t chunk_bytes = 16384;
+    std::vector<char> sink(chunk_bytes);
     error_code ec;
-    while (!lost_ && !ec) {
+    while (!closed_ && !ec) {
         co_await socket_.async_read_some(asio::buffer(sink),
                                          asio::redirect_error(asio::use_awaitable, ec));
-        if (ec == asio::error::operation_aborted && !lost_) {
-            ec = {};  // end_after_answer() broke the read off
+        if (ec == asio::error::operation_aborted && !closed_) {
+            ec = {};  // begin_lingering_close() cancelled the read
         }
     }
 }
 
-void edge_connection::lose()
+void edge_connection::close_connection()
 {
-    if (lost_) {
+    if (closed_) {
         return;
     }
-    lost_ = true;
+    closed_ = true;
     for (exchange &each : pipeline_) {
-        if (owner_.waiting_.erase(each.id) > 0) {
-            owner_.handlers_.abandoned(each.id);
+        if (owner_.pending_.erase(each.id) > 0) {
+            owner_.handlers_.on_abandoned(each.id);
         }
     }
     error_code ec;
     socket_.close(ec);
-    room_.cancel();
+    pipeline_space_.cancel();
     owner_.connections_.erase(id_);
 }
 
 bool edge_connection::is_idle() const
 {
-    bool has_part = buf_.size() > 0 || (parser_ && parser_->got_some());
-    return pipeline_.empty() && !has_part;
+    bool has_partial_request = buf_.size() > 0 || (parser_ && parser_->got_some());
+    return pipeline_.empty() && !has_partial_request;
 }
 
-void edge_connection::close_gently()
+void edge_connection::start_draining()
 {
     if (is_idle() && !closing_since_) {
-        end_after_answer();
+        begin_lingering_close();
     }
 }
 
 void edge_connection::sweep(time_point at)
 {
     auto self = shared_from_this();
-    bool has_part = !closing_since_ && reading_ &&
-                    (buf_.size() > 0 || (parser_ && parser_->got_some())) &&
-                    pipeline_.size() < max_pipeline;
-    if (has_part && !request_since_) {
-        request_since_ = at;
+    bool has_partial_request = !closing_since_ && accepts_requests_ &&
+                               (buf_.size() > 0 || (parser_ && parser_->got_some())) &&
+                               pipeline_.size() < max_pipelined_requests;
+    if (has_partial_request && !partial_request_since_) {
+        partial_request_since_ = at;
     }
-    bool lingered = closing_since_ && at - *closing_since_ > linger_time;
-    bool is_stuck = write_since_ && at - *write_since_ > write_timeout;
-    if (lingered || is_stuck) {
-        lose();
-    } else if (has_part && request_since_) {
+    bool linger_expired = closing_since_ && at - *closing_since_ > linger_time;
+    bool write_stalled = write_since_ && at - *write_since_ > write_timeout;
+    if (linger_expired || write_stalled) {
+        close_connection();
+    } else if (has_partial_request && partial_request_since_) {
         bool in_body = parser_ && parser_->is_header_done();
         duration limit = owner_.limits_.header_timeout * (in_body ? body_timeout_factor : 1);
-        if (at - *request_since_ > limit) {
-            refuse(408, "Request Timeout");
+        if (at - *partial_request_since_ > limit) {
+            reject(408, "Request Timeout");
         }
     } else if (is_idle() && !closing_since_ && at - idle_since_ > owner_.limits_.idle_timeout) {
-        end_after_answer();
+        begin_lingering_close();
     }
 }
 
--- a/gullstall/src/edge/edge_connection.hpp
+++ b/gullstall/src/edge/edge_connection.hpp
@@ -12,20 +12,20 @@
 
 namespace gullstall::edge {
 
-/// One client's connection to an http_edge.
+/// A client connection of an http_edge.
 class edge_connection : public std::enable_shared_from_this<edge_connection>
 {
 public:
     edge_connection(http_edge &owner, std::uint64_t id, boost::asio::ip::tcp::socket &&socket);
 
-    /// Reads requests until the client closes or breaks the protocol.
+    /// Reads requests until the client closes the connection or violates the protocol.
     boost::asio::awaitable<void> run();
 
-    void answer(call_ref id, edge_answer &&answer);
+    void respond(call_ref id, edge_answer &&response);
     void sweep(time_point now);
-    void close_gently();
+    void start_draining();
 
-    /// \returns whether a request has no answer yet, or an answer is not written
+    /// \returns whether any request is unanswered or any response is not fully written
     bool has_work() const
     {
         return !pipeline_.empty();
@@ -35,26 +35,26 @@
     using request_parser =
         boost::beast::http::request_parser<boost::beast::http::vector_body<std::uint8_t>>;
 
-    /// A request that has its place in the order of answers.
+    /// A pipelined request and its response.
     struct exchange
     {
         call_ref id;
-        bool is_head;  ///< its answer has no body
+        bool is_head;  ///< the response has no body
         bool keep_alive;
-        std::optional<std::string> head;  ///< of the answer, once there is one
+        std::optional<std::string> head;  ///< of the response, once available
         std::vector<std::uint8_t> body;
         bool close = false;
     };
 
     boost::asio::awaitable<bool> read_request();
-    boost::asio::awaitable<void> allow_body();
-    boost::asio::awaitable<void> discard();
-    bool take_request();
-    void refuse(std::uint16_t status, const char *text);
-    void refuse_unreadable(const boost::system::error_code &ec);
-    void write_next();
-    void end_after_answer();
-    void lose();
+    boost::asio::awaitable<void> send_continue();
+    boost::asio::awaitable<void> drain_input();
+    bool dispatch_request();
+    void reject(std::uint16_t status, const char *text);
+    void reject_unparsable(const boost::system::error_code &ec);
+    void write_next_response();
+    void begin_lingering_close();
+    void close_connection();
     bool is_idle() const;
 
     http_edge &owner_;
@@ -62,12 +62,13 @@
     boost::asio::ip::tcp::socket socket_;
     boost::beast::flat_buffer buf_;
     std::optional<request_parser> parser_;
-    boost::asio::steady_timer room_;  ///< ends when the pipeline has room again
+    boost::asio::steady_timer pipeline_space_;  ///< cancelled when the pipeline has space again
     std::deque<exchange> pipeline_;
     bool writing_ = false;
-    bool reading_ = true;  ///< further requests are taken
-    bool lost_ = false;
-    std::optional<time_point> request_since_;  ///< when a request was first seen unfinished
+    bool accepts_requests_ = true;  ///< false once no further requests are read
+    bool closed_ = false;
+    std::optional<time_point>
+        partial_request_since_;  ///< when an incomplete request was first seen
     std::optional<time_point> write_since_;
     std::optional<time_point> closing_since_;
     time_point idle_since_;
--- a/gullstall/src/edge/http_answer.cpp
+++ b/gullstall/src/edge/http_answer.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-/// \returns seconds with milliseconds, as a Retry-After field holds them
-std::string print_seconds(duration it)
+/// \returns seconds with three decimals, the format used for Retry-After
+std::string format_seconds(duration it)
 {
     std::array<char, 32> out{};
     std::snprintf(out.data(), out.size(), "%.3f", std::chrono::duration<double>(it).count());
@@ -41,7 +41,7 @@
     return edge_answer{status, status_text(status), "", {}};
 }
 
-edge_answer http_answer(mesh::caller_answer &&it)
+edge_answer to_http_response(mesh::caller_answer &&it)
 {
     if (it.from_upstream) {
         return edge_answer{it.status, std::move(it.status_text), std::move(it.header_lines),
@@ -49,7 +49,7 @@
     }
     edge_answer out = http_error(it.status);
     if (it.retry_after) {
-        out.header_lines = "Retry-After: " + print_seconds(*it.retry_after) + "\r\n";
+        out.header_lines = "Retry-After: " + format_seconds(*it.retry_after) + "\r\n";
     }
     return out;
 }
--- a/gullstall/src/edge/http_answer.hpp
+++ b/gullstall/src/edge/http_answer.hpp
@@ -8,11 +8,11 @@
 
 namespace gullstall::edge {
 
-/// \returns the answer as HTTP: the upstream's own as it came, another with its status
-/// and the time to come back, in seconds
-edge_answer http_answer(mesh::caller_answer &&it);
+/// \returns the HTTP response: an upstream's response unchanged, otherwise an error
+/// response with an optional Retry-After field in seconds
+edge_answer to_http_response(mesh::caller_answer &&it);
 
-/// \returns an answer of the node's own without a body
+/// \returns an error response of this node, without a body
 edge_answer http_error(std::uint16_t status);
 
 }  // namespace gullstall::edge
--- a/gullstall/src/edge/http_edge.cpp
+++ b/gullstall/src/edge/http_edge.cpp
@@ -17,10 +17,10 @@
 
 namespace {
 
-/// Pause after an accept that failed, usually for want of descriptors.
-constexpr std::chrono::milliseconds accept_pause(10);
+/// Delay after a failed accept, usually caused by a lack of file descriptors.
+constexpr std::chrono::milliseconds accept_retry_delay(10);
 
-bool concerns_one_connection(http::field name)
+bool is_hop_by_hop(http::field name)
 {
     constexpr std::array names{http::field::connection,
                                http::field::keep_alive,
@@ -40,7 +40,7 @@
 {
     std::string out;
     for (const auto &field : fields) {
-        if (concerns_one_connection(field.name())) {
+        if (is_hop_by_hop(field.name())) {
             continue;
         }
         out.append(field.name_string().data(), field.name_string().size());
@@ -68,7 +68,7 @@
             co_return;
         }
         if (ec || connections_.size() >= limits_.connections) {
-            asio::steady_timer pause(io_, accept_pause);
+            asio::steady_timer pause(io_, accept_retry_delay);
             co_await pause.async_wait(asio::redirect_error(asio::use_awaitable, ec));
             continue;
         }
@@ -80,14 +80,14 @@
     }
 }
 
-void http_edge::answer(call_ref id, edge_answer &&answer)
+void http_edge::answer(call_ref id, edge_answer &&response)
 {
-    auto found = waiting_.find(id);
-    if (found == waiting_.end()) {
+    auto found = pending_.find(id);
+    if (found == pending_.end()) {
         return;
     }
     std::shared_ptr<edge_connection> connection = found->second;
-    connection->answer(id, std::move(answer));
+    connection->respond(id, std::move(response));
 }
 
 void http_edge::set_limits(const edge_limits &limits)
@@ -113,15 +113,15 @@
                        [](const auto &entry) { return entry.second->has_work(); });
 }
 
-void http_edge::close_gently()
+void http_edge::start_draining()
 {
-    closing_ = true;
+    draining_ = true;
     std::vector<std::shared_ptr<edge_connection>> all;
     for (const auto &[id, connection] : connections_) {
         all.push_back(connection);
     }
     for (const auto &connection : all) {
-        connection->close_gently();
+        connection->start_draining();
     }
 }
 
--- a/gullstall/src/edge/http_edge.hpp
+++ b/gullstall/src/edge/http_edge.hpp
@@ -16,7 +16,7 @@
 
 namespace gullstall::edge {
 
-/// A whole request as it was read.
+/// A complete HTTP request.
 struct edge_request
 {
     std::string method;
@@ -26,17 +26,17 @@
     std::string remote_address;
 };
 
-/// A whole answer as it is written.
+/// A complete HTTP response.
 struct edge_answer
 {
     std::uint16_t status = 0;
     std::string status_text;
-    std::string header_lines;  ///< each with its line end; no length, no connection field
+    std::string header_lines;  ///< CRLF-terminated, without Content-Length and Connection
     std::vector<std::uint8_t> body;
-    bool close = false;  ///< the connection ends with this answer
+    bool close = false;  ///< close the connection after this response
 };
 
-/// Bounds on what a client may send, and how long it may take.
+/// Limits on the size and duration of client requests.
 struct edge_limits
 {
     std::uint32_t header_bytes = 16384;
@@ -48,40 +48,39 @@
     bool operator==(const edge_limits &) const = default;
 };
 
-/// Who takes the requests of an http_edge.
+/// Callbacks of an http_edge.
 struct edge_handlers
 {
-    /// A request came; it is to be answered by http_edge::answer.
-    std::function<void(call_ref, edge_request &&)> requested;
-    /// The client of a request that is not answered yet has gone.
-    std::function<void(call_ref)> abandoned;
+    /// Called for each request, which is to be answered through http_edge::answer().
+    std::function<void(call_ref, edge_request &&)> on_request;
+    /// Called when the client of an unanswered request has disconnected.
+    std::function<void(call_ref)> on_abandoned;
 };
 
 class edge_connection;
 
-/// HTTP/1.1 server. Clients may send further requests before the first is
-/// answered; these are taken at once and answered in order.
+/// HTTP/1.1 server with pipelining: requests are dispatched as they arrive, and
+/// responses are written in request order.
 class http_edge
 {
 public:
-    /// Throws boost::system::system_error when \a at can't be listened on.
+    /// Throws boost::system::system_error when \a at can't be bound.
     http_edge(boost::asio::io_context &io, const boost::asio::ip::tcp::endpoint &at,
               edge_limits limits, edge_handlers handlers);
 
-    /// Answers a request; nothing happens when its client has gone.
-    void answer(call_ref id, edge_answer &&answer);
+    /// Sends the response to a request. Does nothing when the client has disconnected.
+    void answer(call_ref id, edge_answer &&response);
 
     void set_limits(const edge_limits &limits);
 
-    /// Closes connections that are idle or whose client is too slow; to be
-    /// called a few times a second.
+    /// Closes idle connections and those of slow clients. Call a few times per second.
     void sweep(time_point now);
 
-    /// From now on each connection ends with its next answer, and connections
-    /// without a request are closed.
-    void close_gently();
+    /// Closes idle connections now, and each other connection after its last pending
+    /// response.
+    void start_draining();
 
-    /// \returns whether a request has no answer yet, or an answer is not written
+    /// \returns whether any request is unanswered or any response is not fully written
     bool has_work() const;
 
 private:
@@ -93,13 +92,13 @@
     boost::asio::ip::tcp::acceptor acceptor_;
     edge_limits limits_;
     edge_handlers handlers_;
-    bool closing_ = false;
+    bool draining_ = false;
     std::uint64_t last_id_ = 0;
     std::unordered_map<std::uint64_t, std::shared_ptr<edge_connection>> connections_;
-    std::unordered_map<call_ref, std::shared_ptr<edge_connection>> waiting_;
+    std::unordered_map<call_ref, std::shared_ptr<edge_connection>> pending_;
 };
 
-/// \returns \a fields as lines, without those that concern one connection only
+/// \returns the end-to-end \a fields as header lines, without the hop-by-hop fields
 std::string end_to_end_lines(const boost::beast::http::fields &fields);
 
 }  // namespace gullstall::edge
--- a/gullstall/src/edge/line_log.cpp
+++ b/gullstall/src/edge/line_log.cpp
@@ -16,16 +16,16 @@
 
 namespace {
 
-/// Bytes of lines that wait for a reader of standard output.
-constexpr std::size_t max_buffered = 256U << 10U;
+/// Size of the buffer of lines not yet written to standard output.
+constexpr std::size_t max_buffered_bytes = 256U << 10U;
 
-/// A pipe that polls as writable takes this much without blocking (PIPE_BUF).
-constexpr std::size_t write_bytes = 4096;
+/// A pipe that polls as writable accepts this many bytes without blocking (PIPE_BUF).
+constexpr std::size_t max_write_bytes = 4096;
 
-/// Part of a second's lines that is kept for warnings.
-constexpr std::uint32_t warning_part = 4;
+/// One in this many of the lines per second is reserved for warnings.
+constexpr std::uint32_t warning_reserve_divisor = 4;
 
-/// Appender that keeps lines until standard output takes them.
+/// Appender that buffers lines until standard output accepts them.
 class buffer_appender : public log4cplus::Appender
 {
 public:
@@ -36,10 +36,10 @@
 
     void close() override {}
 
-    /// \returns whether there is room for one more line
+    /// \returns whether the buffer accepts another line
     bool has_room() const
     {
-        return buffer_.size() < max_buffered;
+        return buffer_.size() < max_buffered_bytes;
     }
 
     void flush()
@@ -47,7 +47,7 @@
         pollfd out{STDOUT_FILENO, POLLOUT, 0};
         while (!buffer_.empty() && ::poll(&out, 1, 0) == 1 && (out.revents & POLLOUT) != 0) {
             ssize_t n =
-                ::write(STDOUT_FILENO, buffer_.data(), std::min(buffer_.size(), write_bytes));
+                ::write(STDOUT_FILENO, buffer_.data(), std::min(buffer_.size(), max_write_bytes));
             if (n <= 0) {
                 return;
             }
@@ -69,8 +69,8 @@
 buffer_appender &appender()
 {
     static log4cplus::Initializer initializer;
-    static auto *out = new buffer_appender;  // owned by the log's root below
-    static log4cplus::SharedAppenderPtr held(out);
+    static auto *out = new buffer_appender;  // owned by the shared pointer below
+    static log4cplus::SharedAppenderPtr owner(out);
     return *out;
 }
 
@@ -114,8 +114,8 @@
 void line_log::write(const mesh::write_line &line)
 {
     bool is_warning = line.level == mesh::write_line::severity::warning;
-    std::uint32_t kept = is_warning ? 0 : lines_per_second_ / warning_part;
-    if (lines_left_ <= kept || !appender().has_room()) {
+    std::uint32_t reserved = is_warning ? 0 : lines_per_second_ / warning_reserve_divisor;
+    if (lines_left_ <= reserved || !appender().has_room()) {
         ++dropped_;
         ++dropped_by_event_[line.event];
         return;
@@ -126,8 +126,8 @@
 
 void line_log::tick(time_point now)
 {
-    if (now - second_at_ >= seconds(1)) {
-        second_at_ = now;
+    if (now - second_started_at_ >= seconds(1)) {
+        second_started_at_ = now;
         lines_left_ = lines_per_second_;
         for (const auto &[event, n] : dropped_by_event_) {
             print(mesh::write_line{mesh::write_line::severity::warning,
--- a/gullstall/src/edge/line_log.hpp
+++ b/gullstall/src/edge/line_log.hpp
@@ -8,22 +8,22 @@
 
 namespace gullstall::edge {
 
-/// Log of one JSON object a line, on standard output. It never blocks: lines
-/// wait in a bounded buffer until the reader takes them, and what is beyond the
-/// buffer or the rate is counted by kind of event and told once a second.
+/// Non-blocking log on standard output, one JSON object per line. Lines are held in a
+/// bounded buffer until they can be written; lines beyond the buffer or the rate limit
+/// are dropped, counted by event and reported once per second.
 class line_log
 {
 public:
-    /// \param level one of debug, info, warn, error; empty: info
+    /// \param level one of debug, info, warn, error; info when empty
     line_log(const std::string &node, const std::string &level, std::uint32_t lines_per_second);
 
     void write(const mesh::write_line &line);
 
-    /// Hands to standard output what it takes, and tells what was dropped; to be
-    /// called several times a second.
+    /// Writes what standard output accepts without blocking, and reports dropped
+    /// lines. Call several times per second.
     void tick(time_point now);
 
-    /// \returns how many lines were dropped so far
+    /// \returns the number of lines dropped so far
     std::uint64_t dropped() const
     {
         return dropped_;
@@ -35,7 +35,7 @@
     std::string node_;
     std::uint32_t lines_per_second_;
     std::uint32_t lines_left_;
-    time_point second_at_{};
+    time_point second_started_at_{};
     std::map<std::string, std::uint64_t> dropped_by_event_;
     std::uint64_t dropped_ = 0;
 };
--- a/gullstall/src/edge/mesh_daemon.cpp
+++ b/gullstall/src/edge/mesh_daemon.cpp
@@ -15,31 +15,32 @@
 
 namespace {
 
-/// Time between two looks at connections that are idle or too slow.
+/// Interval between checks for idle and slow connections.
 constexpr duration sweep_interval = milliseconds(250);
 
-/// Time before the end of the stop's time at which the process ends in any case.
+/// The process exits this long before the stop timeout, whether or not work remains.
 constexpr duration stop_margin = milliseconds(300);
 
-endpoint endpoint_from(const std::string &text)
+endpoint checked_endpoint(const std::string &text)
 {
     result<endpoint> read = parse_endpoint(text);
-    return succeeded(read) ? value_of(read) : endpoint{};  // the settings are checked
+    return succeeded(read) ? value_of(read) : endpoint{};  // the settings have been validated
 }
 
-asio::ip::tcp::endpoint listen_at(const std::string &text)
+asio::ip::tcp::endpoint listen_endpoint(const std::string &text)
 {
-    return runtime::tcp_endpoint(endpoint_from(text));
+    return runtime::tcp_endpoint(checked_endpoint(text));
 }
 
-/// Address of the own upstream; a node without one never uses it.
-asio::ip::tcp::endpoint upstream_at(const mesh::mesh_settings &settings)
+/// Endpoint of the local upstream; default-constructed and unused when none is
+/// configured.
+asio::ip::tcp::endpoint upstream_endpoint(const mesh::mesh_settings &settings)
 {
     return settings.upstream.endpoint.empty() ? asio::ip::tcp::endpoint()
-                                              : listen_at(settings.upstream.endpoint);
+                                              : listen_endpoint(settings.upstream.endpoint);
 }
 
-std::string_view field_of(const boost::beast::http::fields &fields, const std::string &name)
+std::string_view header_value(const boost::beast::http::fields &fields, const std::string &name)
 {
     auto value = fields[name];
     return {value.data(), value.size()};
@@ -49,17 +50,17 @@
 
 mesh_daemon::mesh_daemon(asio::io_context &io, const mesh::mesh_settings &settings,
                          platform_dialect dialect, std::uint64_t incarnation, std::uint64_t seed,
-                         const mesh::mesh_switches &on)
+                         const mesh::mesh_switches &switches)
     : io_(io),
       settings_(settings),
       dialect_(std::move(dialect)),
       node_(mesh::make_mesh_node(settings, incarnation, seed, now())),
       log_(settings.node.name, settings.log.level, settings.log.lines_per_second),
-      callers_(io, listen_at(settings.listen.callers), edge_limits{},
+      callers_(io, listen_endpoint(settings.listen.callers), edge_limits{},
                edge_handlers{
-                   [this](call_ref id, edge_request &&it) { request(id, std::move(it)); },
+                   [this](call_ref id, edge_request &&it) { on_request(id, std::move(it)); },
                    [this](call_ref id) { step([&](mesh_turn &t) { abandon_request(t, id); }); }}),
-      metrics_(io, listen_at(settings.listen.metrics), edge_limits{},
+      metrics_(io, listen_endpoint(settings.listen.metrics), edge_limits{},
                edge_handlers{[this](call_ref id, edge_request &&) {
                                  std::string text = print_metrics(node_, now());
                                  text +=
@@ -72,12 +73,12 @@
                                                                  {text.begin(), text.end()}});
                              },
                              [](call_ref) {}}),
-      upstream_(io, upstream_at(settings), dialect_.names,
+      upstream_(io, upstream_endpoint(settings), dialect_.names,
                 [this](run_ref id, mesh::run_result &&result) {
                     step([&](mesh_turn &t) { take_run_result(t, id, std::move(result)); });
                 }),
       peers_(
-          io, listen_at(settings.listen.peers),
+          io, listen_endpoint(settings.listen.peers),
           peer_link_handlers{
               [this] { return own_hello(node_, now()); },
               [this](const std::string &node) { step([&](mesh_turn &t) { link_node(t, node); }); },
@@ -90,17 +91,17 @@
                   step([&](mesh_turn &t) { lose_node(t, node, unsent); });
               },
               [this](const std::string &node, mesh_wire::frame_message &&frame) {
-                  from_node(node, std::move(frame));
+                  on_node_frame(node, std::move(frame));
               },
               [this](mesh::link_ref link, mesh_wire::frame_message &&frame) {
-                  from_link(link, std::move(frame));
+                  on_link_frame(link, std::move(frame));
               },
               [this](mesh::link_ref link) { step([&](mesh_turn &t) { lose_link(t, link); }); }},
-          on.packed_frames),
+          switches.packed_frames),
       expiry_timer_(io),
       tick_timer_(io)
 {
-    node_.on = on;
+    node_.on = switches;
     schedule_tick();
 }
 
@@ -110,18 +111,18 @@
     mesh_turn turn{node_, now(), out};
     what(turn);
     for (mesh::mesh_action &it : out) {
-        carry_out(std::move(it));
+        execute(std::move(it));
     }
     schedule_expiry();
 }
 
-void mesh_daemon::carry_out(mesh::mesh_action &&what)
+void mesh_daemon::execute(mesh::mesh_action &&what)
 {
     std::visit(
         [this](auto &it) {
             using kind = std::decay_t<decltype(it)>;
             if constexpr (std::is_same_v<kind, mesh::answer_caller>) {
-                answer(it.call, std::move(it.answer));
+                send_response(it.call, std::move(it.answer));
             } else if constexpr (std::is_same_v<kind, mesh::send_to_node>) {
                 send_to_node(it);
             } else if constexpr (std::is_same_v<kind, mesh::send_to_link>) {
@@ -131,15 +132,15 @@
             } else if constexpr (std::is_same_v<kind, mesh::cancel_run>) {
                 upstream_.cancel(it.run);
             } else if constexpr (std::is_same_v<kind, mesh::upstream_replaced>) {
-                upstream_.forget_connections();
+                upstream_.discard_connections();
             } else if constexpr (std::is_same_v<kind, mesh::connect_node>) {
                 peers_.connect(it.address);
             } else if constexpr (std::is_same_v<kind, mesh::keep_chain>) {
-                if (keep_chain_) {
-                    keep_chain_(std::move(it));
+                if (save_chain_) {
+                    save_chain_(std::move(it));
                 }
             } else {
-                static_assert(std::is_same_v<kind, write_line>, "an action is not carried out");
+                static_assert(std::is_same_v<kind, write_line>, "unhandled action type");
                 log_.write(it);
             }
         },
@@ -152,8 +153,9 @@
     if (peers_.send_to_node(order.node, order.frame) || call == nullptr) {
         return;
     }
-    // The call has not left: the next loop tells it as a refusal, so that it is
-    // placed elsewhere. Not at once: the node is in the middle of a step.
+    // The call was not sent. Report it as not started, so that it is retried on
+    // another node, from a later event loop iteration, because the node is in the
+    // middle of a step.
     std::uint64_t correlation = call->correlation;
     asio::post(io_, [this, node = order.node, correlation] {
         mesh_wire::reply_message reply;
@@ -164,24 +166,24 @@
     });
 }
 
-void mesh_daemon::request(call_ref id, edge_request &&it)
+void mesh_daemon::on_request(call_ref id, edge_request &&it)
 {
     mesh::caller_request request;
-    request.request_id = std::string(field_of(it.fields, dialect_.names.request_id));
+    request.request_id = std::string(header_value(it.fields, dialect_.names.request_id));
     request.host = std::string(it.fields[boost::beast::http::field::host]);
     request.method = std::move(it.method);
     request.target = std::move(it.target);
     request.body = std::move(it.body);
     std::int64_t left_ms = 0;
-    std::string_view told = field_of(it.fields, dialect_.names.time_left_ms);
-    if (!told.empty() && boost::conversion::try_lexical_convert(told, left_ms)) {
+    std::string_view value = header_value(it.fields, dialect_.names.time_left_ms);
+    if (!value.empty() && boost::conversion::try_lexical_convert(value, left_ms)) {
         request.time_left = milliseconds(left_ms);
     }
     if (request.request_id.empty()) {
         callers_.answer(id, http_error(400));
         return;
     }
-    // What this node sets itself must not be taken from the caller.
+    // Headers that this node sets itself must not be accepted from the caller.
     it.fields.erase(dialect_.names.time_left_ms);
     it.fields.erase(dialect_.names.expected_upstream);
     it.fields.erase(dialect_.names.caller_service);
@@ -189,12 +191,12 @@
     step([&](mesh_turn &t) { take_request(t, id, std::move(request)); });
 }
 
-void mesh_daemon::answer(call_ref id, mesh::caller_answer &&answer)
+void mesh_daemon::send_response(call_ref id, mesh::caller_answer &&answer)
 {
-    callers_.answer(id, http_answer(std::move(answer)));
+    callers_.answer(id, to_http_response(std::move(answer)));
 }
 
-void mesh_daemon::from_node(const std::string &node, mesh_wire::frame_message &&frame)
+void mesh_daemon::on_node_frame(const std::string &node, mesh_wire::frame_message &&frame)
 {
     if (mesh_wire::reply_message *reply = frame.payload.Asreply()) {
         step([&](mesh_turn &t) { take_reply(t, node, *reply); });
@@ -207,7 +209,7 @@
     }
 }
 
-void mesh_daemon::from_link(mesh::link_ref link, mesh_wire::frame_message &&frame)
+void mesh_daemon::on_link_frame(mesh::link_ref link, mesh_wire::frame_message &&frame)
 {
     if (mesh_wire::call_message *call = frame.payload.Ascall()) {
         step([&](mesh_turn &t) { take_call(t, link, std::move(*call)); });
@@ -265,7 +267,7 @@
 
 void mesh_daemon::keep_chains(std::function<void(mesh::keep_chain &&)> keep)
 {
-    keep_chain_ = std::move(keep);
+    save_chain_ = std::move(keep);
 }
 
 void mesh_daemon::log(const write_line &line)
@@ -284,8 +286,8 @@
 
 void mesh_daemon::stop()
 {
-    if (!stop_asked_at_) {
-        stop_asked_at_ = now();
+    if (!stop_requested_at_) {
+        stop_requested_at_ = now();
         step([](mesh_turn &t) { stop_node(t); });
     }
 }
@@ -298,8 +300,8 @@
 void mesh_daemon::schedule_expiry()
 {
     std::optional<time_point> next = next_expiry(node_);
-    // A timer that ends too early looks again; setting it anew for each request
-    // costs a system call each.
+    // An early timer is harmless: its handler reschedules. Resetting the timer on
+    // every request would cost one system call each.
     if (!next || (expiry_at_ && *expiry_at_ <= *next)) {
         return;
     }
@@ -334,15 +336,15 @@
     step([](mesh_turn &t) { members_tick(t); });
     peers_.tick(at);
     log_.tick(at);
-    if (at - swept_at_ >= sweep_interval) {
-        swept_at_ = at;
+    if (at - last_sweep_at_ >= sweep_interval) {
+        last_sweep_at_ = at;
         callers_.sweep(at);
         metrics_.sweep(at);
         upstream_.sweep(at);
     }
-    if (!closing_ && is_entry_closed(node_, at)) {
-        closing_ = true;
-        callers_.close_gently();
+    if (!draining_ && is_entry_closed(node_, at)) {
+        draining_ = true;
+        callers_.start_draining();
     }
     if (has_stopped(at)) {
         log(write_line{write_line::severity::info, "node", "stopped", {}});
@@ -353,11 +355,11 @@
 
 bool mesh_daemon::has_stopped(time_point now) const
 {
-    if (!stop_asked_at_) {
+    if (!stop_requested_at_) {
         return false;
     }
-    duration passed = now - *stop_asked_at_;
-    bool is_empty = closing_ && !callers_.has_work() && node_.calls.empty() && node_.runs.empty();
+    duration passed = now - *stop_requested_at_;
+    bool is_empty = draining_ && !callers_.has_work() && node_.calls.empty() && node_.runs.empty();
     return is_empty || passed >= settings_.stop_time - stop_margin;
 }
 
--- a/gullstall/src/edge/mesh_daemon.hpp
+++ b/gullstall/src/edge/mesh_daemon.hpp
@@ -15,45 +15,47 @@
 
 namespace gullstall::edge {
 
-/// What the platform that the node runs on has its own form for.
+/// Platform-specific formats and names.
 struct platform_dialect
 {
     field_names names;
-    /// Reads the operator's policy as the platform's store holds it.
+    /// Parses the operator's policy in the format of the platform's store.
     std::function<result<traffic_policy>(std::string_view)> read_policy;
 };
 
-/// The node as a process: one event loop that carries out what its decisions
-/// ask for. On an instance with a part of one core a thread for each duty
-/// costs a wake-up more for each hop of a request and gains nothing.
+/// Runs a mesh node in one process. A single-threaded event loop executes the actions
+/// that the node's decision logic returns: on an instance with a fraction of a core, a
+/// thread per task would add a wake-up to each hop of a request without any gain.
 class mesh_daemon
 {
 public:
-    /// Throws boost::system::system_error when an address can't be listened on.
+    /// Throws boost::system::system_error when a listen address can't be bound.
     mesh_daemon(boost::asio::io_context &io, const mesh::mesh_settings &settings,
                 platform_dialect dialect, std::uint64_t incarnation, std::uint64_t seed,
-                const mesh::mesh_switches &on = {});
+                const mesh::mesh_switches &switches = {});
 
-    /// The upstream beside the node speaks of itself.
+    /// Handles a heartbeat of the local upstream.
     mesh::heartbeat_verdict heartbeat(const mesh::upstream_heartbeat &beat);
     void leave(const std::string &upstream);
 
-    /// The platform's store tells a policy, or a node's address.
+    /// Updates from the platform's store: the policy, a node's address, a stored call
+    /// chain.
     void policy_text(const std::string &text, const char *source);
     void address(const mesh::node_address &address);
     void kept_chain(const std::string &route, const mesh::calls_per_run &calls);
 
-    /// Sets what keeps chains in the store; without it they are not kept.
+    /// Sets the function that saves call chains in the store. Without it they are not
+    /// saved.
     void keep_chains(std::function<void(mesh::keep_chain &&)> keep);
 
     void log(const mesh::write_line &line);
 
-    /// Applies what can change while the process runs: the limits. Names and
-    /// addresses take a new process.
+    /// Applies the settings that can change at run time, which are the limits. Changed
+    /// names and addresses take effect only in a new process.
     void apply_limits(const mesh::mesh_settings &settings);
 
-    /// The process is asked to stop: it ends when its work is done, or when the
-    /// time for it is over.
+    /// Starts a graceful stop: the process exits when all work is done or the stop
+    /// timeout has passed.
     void stop();
 
     bool is_ready() const;
@@ -64,13 +66,13 @@
     }
 
 private:
-    void request(call_ref id, edge_request &&request);
-    void answer(call_ref id, mesh::caller_answer &&answer);
-    void from_node(const std::string &node, mesh_wire::frame_message &&frame);
-    void from_link(mesh::link_ref link, mesh_wire::frame_message &&frame);
-    /// Lets the node take one step and carries out what it asks for.
+    void on_request(call_ref id, edge_request &&request);
+    void send_response(call_ref id, mesh::caller_answer &&answer);
+    void on_node_frame(const std::string &node, mesh_wire::frame_message &&frame);
+    void on_link_frame(mesh::link_ref link, mesh_wire::frame_message &&frame);
+    /// Runs one step of the node's decision logic and executes the resulting actions.
     void step(const std::function<void(mesh::mesh_turn &)> &what);
-    void carry_out(mesh::mesh_action &&what);
+    void execute(mesh::mesh_action &&what);
     void send_to_node(const mesh::send_to_node &order);
     void schedule_expiry();
     void schedule_tick();
@@ -81,7 +83,7 @@
     mesh::mesh_settings settings_;
     platform_dialect dialect_;
     mesh::mesh_node node_;
-    std::function<void(mesh::keep_chain &&)> keep_chain_;
+    std::function<void(mesh::keep_chain &&)> save_chain_;
     line_log log_;
     http_edge callers_;
     http_edge metrics_;
@@ -90,9 +92,9 @@
     boost::asio::steady_timer expiry_timer_;
     std::optional<time_point> expiry_at_;
     boost::asio::steady_timer tick_timer_;
-    time_point swept_at_{};
-    std::optional<time_point> stop_asked_at_;
-    bool closing_ = false;
+    time_point last_sweep_at_{};
+    std::optional<time_point> stop_requested_at_;
+    bool draining_ = false;
 };
 
 }  // namespace gullstall::edge
--- a/gullstall/src/edge/node_registration.hpp
+++ b/gullstall/src/edge/node_registration.hpp
@@ -9,26 +9,27 @@
 
 namespace gullstall::edge {
 
-/// A node's row in the platform's store, and how it learns of the others there.
-/// A node reads all rows after its own stands there and connects to the nodes
-/// that they name; of any two nodes the one that comes later so finds the other.
-/// Nobody waits for changes: a start costs as many store calls with many nodes
-/// as with few.
+/// Registration of a node in the platform's store, and discovery of the other nodes. A
+/// node writes its own row first, then reads all rows and connects to the nodes in
+/// them, so that of any two nodes the later one finds the other. Nodes don't watch for
+/// changes: the number of store calls per start does not depend on the number of
+/// nodes.
 struct node_registration
 {
-    std::string prefix;  ///< of the rows of all nodes
-    table_row own;       ///< key and value; the version is not used
-    ask_store ask;
-    std::function<void(const std::vector<table_row> &)> found;  ///< all rows, own included
+    std::string prefix;  ///< key prefix of all nodes' rows
+    table_row own_row;   ///< key and value; the version is ignored
+    ask_store call;
+    std::function<void(const std::vector<table_row> &)>
+        on_rows;  ///< all rows, including the own one
     std::function<void(const mesh::write_line &)> log;
     random_source random;
 };
 
-/// Makes sure that the own row stands in the store and reads all rows after it.
-/// \returns false when the store did not do all of it
+/// Writes the own row unless it is up to date, and then reads all rows.
+/// \returns false when a store call failed
 boost::asio::awaitable<bool> register_once(node_registration &it);
 
-/// Registers, and again every few minutes, for as long as the process runs.
+/// Registers the node now and again every few minutes, as long as the process runs.
 boost::asio::awaitable<void> run_registration(boost::asio::io_context &io, node_registration it);
 
 }  // namespace gullstall::edge
--- a/gullstall/src/edge/peer_connection.hpp
+++ b/gullstall/src/edge/peer_connection.hpp
@@ -15,72 +15,72 @@
 
 namespace gullstall::edge {
 
-/// A framed connection between two nodes, whoever opened it.
+/// A connection that carries frames between two nodes, for either side.
 class peer_connection : public std::enable_shared_from_this<peer_connection>
 {
 public:
-    /// Who takes the frames of a connection.
+    /// Callbacks of a connection.
     struct handlers
     {
-        std::function<void(mesh_wire::frame_message &&)> arrived;
-        std::function<void(const std::string &why)> ended;
+        std::function<void(mesh_wire::frame_message &&)> on_frame;
+        std::function<void(const std::string &why)> on_closed;
     };
 
     peer_connection(boost::asio::ip::tcp::socket &&socket, handlers handlers);
 
-    /// For a handler that needs to know the connection itself.
+    /// Sets handlers that need a reference to the connection itself.
     void set_handlers(handlers handlers)
     {
         handlers_ = std::move(handlers);
     }
 
-    /// Reads frames until the connection ends.
+    /// Reads frames until the connection is closed.
     boost::asio::awaitable<void> run();
 
-    /// Packs all frames that are sent from now on. For connections between
-    /// availability zones, whose bytes are paid for: the frames of calls shrink to
-    /// a fifth. Whether a frame is packed is told with it.
-    void pack_from_now();
+    /// Compresses all frames sent from now on. Used between availability zones, where
+    /// traffic is billed: call frames shrink to a fifth of their size. A flag in each
+    /// block tells the receiver whether it is compressed.
+    void enable_compression();
 
-    /// Queues a frame.
-    /// \returns false when the other side reads too slowly and the frame was
-    /// not taken
+    /// Queues a frame for sending.
+    /// \returns false when the send queue is full or the connection is closed, and the
+    /// frame was not queued
     bool send(const mesh_wire::frame_message &frame);
 
-    /// Ends the connection; `ended` is told once.
+    /// Closes the connection; `on_closed` is called once.
     void close(const std::string &why);
 
-    /// \returns correlations of the calls of which no byte has left
+    /// \returns the correlation ids of queued calls of which no byte has been sent
     std::vector<std::uint64_t> unsent_calls() const;
 
-    time_point heard_at() const
+    time_point last_received_at() const
     {
-        return heard_at_;
+        return last_received_at_;
     }
 
 private:
-    struct outgoing
+    struct queued_frame
     {
         std::string bytes;
-        std::uint64_t correlation;  ///< of a call, else 0
+        std::uint64_t correlation;  ///< of a call, otherwise 0
     };
 
     void write_queued();
-    void write_packed(std::string &small);
-    bool take_blocks();
-    bool take_packed(std::string_view content);
-    bool take_frame(const std::string &content);
+    void flush_compressed(std::string &batch);
+    bool parse_input();
+    bool parse_compressed_block(std::string_view content);
+    bool dispatch_frame(const std::string &content);
 
     boost::asio::ip::tcp::socket socket_;
     handlers handlers_;
-    std::string in_;
-    std::vector<outgoing> queued_;
+    std::string read_buffer_;
+    std::vector<queued_frame> queued_;
     std::vector<std::string> writing_;
-    std::optional<byte_packer> packer_;
-    std::optional<byte_unpacker> unpacker_;
+    std::optional<frame_compressor> compressor_;
+    std::optional<frame_decompressor> decompressor_;
     std::size_t queued_bytes_ = 0;
-    time_point heard_at_;
-    bool ended_ = false;
+    time_point last_received_at_;
+    bool closed_ = false;
 };
 
 }  // namespace gullstall::edge
--- a/gullstall/src/edge/peer_links.cpp
+++ b/gullstall/src/edge/peer_links.cpp
@@ -17,30 +17,30 @@
 
 namespace {
 
-/// A connection on which nothing came for this long is asked for a sign. It is
-/// more than the time between two statuses.
-constexpr duration quiet_time = milliseconds(800);
-
-/// A connection on which nothing came for this long has fallen silent: three
-/// statuses and a ping were missed.
-constexpr duration silent_time = milliseconds(1600);
-
-/// Time for a connection to come about. After a cut nodes find each other within this
-/// time and the longest backoff: until then a zone that lacks a service refuses all
-/// that needs it, though the cut is over.
-constexpr std::chrono::milliseconds dial_timeout(400);
-constexpr duration first_backoff = milliseconds(100);
-constexpr duration longest_backoff = milliseconds(300);
-constexpr std::chrono::milliseconds accept_pause(10);
+/// A connection on which nothing was received for this long is pinged. It is longer
+/// than the status interval.
+constexpr duration ping_idle_time = milliseconds(800);
+
+/// A connection on which nothing was received for this long is closed: three statuses
+/// and the response to a ping were missed.
+constexpr duration silence_timeout = milliseconds(1600);
+
+/// Timeout of a connection attempt. After a network partition heals, nodes reconnect
+/// within this timeout plus the longest backoff; until then a zone without some
+/// service refuses all requests that depend on it.
+constexpr std::chrono::milliseconds connect_timeout(400);
+constexpr duration initial_backoff = milliseconds(100);
+constexpr duration max_backoff = milliseconds(300);
+constexpr std::chrono::milliseconds accept_retry_delay(10);
 
 }  // namespace
 
 peer_links::peer_links(asio::io_context &io, const asio::ip::tcp::endpoint &at,
-                       peer_link_handlers handlers, bool packs_between_zones)
+                       peer_link_handlers handlers, bool compress_between_zones)
     : io_(io),
       acceptor_(io, at),
       handlers_(std::move(handlers)),
-      packs_between_zones_(packs_between_zones)
+      compress_between_zones_(compress_between_zones)
 {
     asio::co_spawn(io_, accept_loop(), asio::detached);
 }
@@ -52,7 +52,7 @@
         asio::ip::tcp::socket socket =
             co_await acceptor_.async_accept(asio::redirect_error(asio::use_awaitable, ec));
         if (ec) {
-            asio::steady_timer pause(io_, accept_pause);
+            asio::steady_timer pause(io_, accept_retry_delay);
             co_await pause.async_wait(asio::redirect_error(asio::use_awaitable, ec));
             continue;
         }
@@ -64,7 +64,7 @@
                                       },
                                       [this, link](const std::string &) {
                                           accepted_.erase(link);
-                                          handlers_.link_lost(link);
+                                          handlers_.on_link_closed(link);
                                       }});
         accepted_[link] = connection;
         asio::co_spawn(
@@ -75,13 +75,13 @@
 void peer_links::connect(const mesh::node_address &address)
 {
     dialed_node &it = dialed_[address.node];
-    bool has_moved = it.address.peers != address.peers;
+    bool address_changed = it.address.peers != address.peers;
     it.address = address;
-    it.dial_at = time_point{};
+    it.next_dial_at = time_point{};
     it.backoff = duration{};
-    if (has_moved && it.connection) {
+    if (address_changed && it.connection) {
         std::shared_ptr<peer_connection> old = it.connection;
-        old->close("the node has moved");
+        old->close("node address changed");
     }
     tick(now());
 }
@@ -89,7 +89,7 @@
 asio::awaitable<void> peer_links::dial(std::string node)
 {
     auto socket = std::make_shared<asio::ip::tcp::socket>(io_);
-    asio::steady_timer limit(io_, dial_timeout);
+    asio::steady_timer limit(io_, connect_timeout);
     limit.async_wait([socket](const error_code &ec) {
         error_code ignored;
         if (!ec) {
@@ -102,8 +102,8 @@
     limit.cancel();
     dialed_node &it = dialed_[node];
     it.connecting = false;
-    it.backoff = std::min(longest_backoff, std::max(first_backoff, 2 * it.backoff));
-    it.dial_at = now() + it.backoff;
+    it.backoff = std::min(max_backoff, std::max(initial_backoff, 2 * it.backoff));
+    it.next_dial_at = now() + it.backoff;
     if (!ec) {
         start(it, std::move(*socket));
     }
@@ -122,17 +122,17 @@
         [this, node, weak](const std::string &why) {
             auto found = dialed_.find(node);
             if (found != dialed_.end() && found->second.connection == weak.lock()) {
-                on_dialed_end(node, why);
+                on_dialed_closed(node, why);
             }
         }});
     it.connection = connection;
-    it.linked = false;
-    it.pinged_at = now();
+    it.established = false;
+    it.last_ping_at = now();
     asio::co_spawn(
         io_, [connection] { return connection->run(); }, asio::detached);
-    mesh_wire::hello_message hello = handlers_.own_hello();
-    if (packs_between_zones_ && hello.zone != it.address.zone) {
-        connection->pack_from_now();
+    mesh_wire::hello_message hello = handlers_.make_hello();
+    if (compress_between_zones_ && hello.zone != it.address.zone) {
+        connection->enable_compression();
     }
     connection->send(mesh::mesh_frame(std::move(hello)));
 }
@@ -140,10 +140,10 @@
 void peer_links::on_accepted_frame(link_ref link, mesh_wire::frame_message &&frame)
 {
     const mesh_wire::hello_message *hello = frame.payload.Ashello();
-    if (packs_between_zones_ && hello != nullptr && hello->zone != handlers_.own_hello().zone) {
-        accepted_.at(link)->pack_from_now();
+    if (compress_between_zones_ && hello != nullptr && hello->zone != handlers_.make_hello().zone) {
+        accepted_.at(link)->enable_compression();
     }
-    handlers_.from_link(link, std::move(frame));
+    handlers_.on_link_frame(link, std::move(frame));
 }
 
 void peer_links::on_dialed_frame(const std::string &node,
@@ -154,31 +154,32 @@
     if (it.connection != from.lock()) {
         return;
     }
-    bool is_first = !it.linked;
-    it.linked = true;
+    bool is_first = !it.established;
+    it.established = true;
     it.backoff = duration{};
-    handlers_.from_node(node, std::move(frame));
+    handlers_.on_node_frame(node, std::move(frame));
     if (is_first) {
-        handlers_.linked(node);
+        handlers_.on_connected(node);
     }
 }
 
-void peer_links::on_dialed_end(const std::string &node, const std::string &why)
+void peer_links::on_dialed_closed(const std::string &node, const std::string &why)
 {
     dialed_node &it = dialed_[node];
     std::vector<std::uint64_t> unsent = it.connection->unsent_calls();
     it.connection.reset();
-    if (it.linked) {
-        it.linked = false;
-        it.dial_at = now();
-        handlers_.lost(node, why, unsent);
+    if (it.established) {
+        it.established = false;
+        it.next_dial_at = now();
+        handlers_.on_disconnected(node, why, unsent);
     }
 }
 
 bool peer_links::send_to_node(const std::string &node, const mesh_wire::frame_message &frame)
 {
     auto found = dialed_.find(node);
-    return found != dialed_.end() && found->second.linked && found->second.connection->send(frame);
+    return found != dialed_.end() && found->second.established &&
+           found->second.connection->send(frame);
 }
 
 void peer_links::send_to_link(link_ref link, const mesh_wire::frame_message &frame)
@@ -189,21 +190,22 @@
     }
     std::shared_ptr<peer_connection> connection = found->second;
     if (!connection->send(frame)) {
-        // A reply that is not taken would leave its request without an answer.
-        connection->close("the other node reads too slowly");
+        // Dropping a reply would leave its request unanswered, so close the connection
+        // instead.
+        connection->close("send queue full, peer reads too slowly");
     }
 }
 
-void peer_links::watch(const std::string &node, dialed_node &it, time_point now)
+void peer_links::check_liveness(const std::string &node, dialed_node &it, time_point now)
 {
     std::shared_ptr<peer_connection> connection = it.connection;
-    duration quiet = now - connection->heard_at();
-    if (quiet > silent_time) {
+    duration silence = now - connection->last_received_at();
+    if (silence > silence_timeout) {
         connection->close("silent");
         return;
     }
-    if (quiet > quiet_time && now - it.pinged_at > quiet_time) {
-        it.pinged_at = now;
+    if (silence > ping_idle_time && now - it.last_ping_at > ping_idle_time) {
+        it.last_ping_at = now;
         mesh_wire::ping_message ping;
         ping.sent_us = mesh::frame_time_us(now);
         send_to_node(node, mesh::mesh_frame(ping));
@@ -214,8 +216,8 @@
 {
     for (auto &[node, it] : dialed_) {
         if (it.connection) {
-            watch(node, it, now);
-        } else if (!it.connecting && now >= it.dial_at) {
+            check_liveness(node, it, now);
+        } else if (!it.connecting && now >= it.next_dial_at) {
             it.connecting = true;
             asio::co_spawn(io_, dial(node), asio::detached);
         }
--- a/gullstall/src/edge/store_watch.cpp
+++ b/gullstall/src/edge/store_watch.cpp
@@ -11,34 +11,34 @@
 
 namespace {
 
-/// First pause after a call that failed. Entries have to be back within about
-/// two seconds of a store's return, and 85 nodes that come back within this
-/// time stay below 1,000 calls a second.
-constexpr double first_pause_us = 150000;
-constexpr double longest_pause_us = 1000000;
+/// Largest delay after the first failed call. Entry nodes have to reconnect within about
+/// two seconds of the store's recovery, and 85 nodes that reconnect within this delay
+/// make fewer than 1,000 calls per second.
+constexpr double initial_backoff_us = 150000;
+constexpr double max_backoff_us = 1000000;
 
-void tell_state(const store_watch &it, bool works, const platform_answer &answer)
+void log_state(const store_watch &it, bool works, const platform_answer &response)
 {
     it.handlers.log(write_line{
         works ? write_line::severity::info : write_line::severity::warning,
         "store",
         works ? "store-regained" : "store-lost",
-        {{"table", it.prefix}, {"status", std::to_string(static_cast<int>(answer.status))}}});
+        {{"table", it.prefix}, {"status", std::to_string(static_cast<int>(response.status))}}});
 }
 
 }  // namespace
 
-duration draw_store_pause(random_source &random, std::uint32_t failures)
+duration draw_store_backoff(random_source &random, std::uint32_t failures)
 {
-    double most = first_pause_us;
-    for (std::uint32_t i = 1; i < failures && most < longest_pause_us; ++i) {
-        most *= 2;
+    double backoff_us = initial_backoff_us;
+    for (std::uint32_t i = 1; i < failures && backoff_us < max_backoff_us; ++i) {
+        backoff_us *= 2;
     }
-    most = std::min(most, longest_pause_us);
-    return duration(static_cast<std::int64_t>(most * (1 + draw_fraction(random)) / 2));
+    backoff_us = std::min(backoff_us, max_backoff_us);
+    return duration(static_cast<std::int64_t>(backoff_us * (1 + draw_fraction(random)) / 2));
 }
 
-asio::awaitable<void> wait_for(asio::io_context &io, duration pause)
+asio::awaitable<void> async_sleep(asio::io_context &io, duration pause)
 {
     boost::system::error_code ec;
     asio::steady_timer timer(io, pause);
@@ -47,33 +47,33 @@
 
 asio::awaitable<void> run_watch(asio::io_context &io, store_watch it)
 {
-    std::uint64_t after = 0;
-    bool has_read = false;
+    std::uint64_t last_version = 0;
+    bool has_snapshot = false;
     std::uint32_t failures = 0;
     while (true) {
-        platform_request next = has_read
-                                    ? platform_request(table_feed{it.prefix, after, it.wait_ms})
-                                    : platform_request(table_scan{it.prefix});
-        platform_answer answer = co_await it.ask(std::move(next));
-        if (answer.status == platform_status::done) {
+        platform_request next =
+            has_snapshot ? platform_request(table_feed{it.prefix, last_version, it.wait_ms})
+                         : platform_request(table_scan{it.prefix});
+        platform_answer response = co_await it.call(std::move(next));
+        if (response.status == platform_status::done) {
             if (failures > 0) {
-                tell_state(it, true, answer);
+                log_state(it, true, response);
             }
             failures = 0;
-            has_read = true;
-            after = std::max(after, answer.version);
-            for (const table_row &row : answer.rows) {
-                it.handlers.changed(row);
+            has_snapshot = true;
+            last_version = std::max(last_version, response.version);
+            for (const table_row &row : response.rows) {
+                it.handlers.on_row(row);
             }
             continue;
         }
-        // After a failure all is read anew: a short call shows at once whether the
-        // store is back, and a feed shows it only with the next change.
-        has_read = false;
+        // Rescan after a failure: a scan returns at once when the store has recovered,
+        // whereas a feed returns only with the next change.
+        has_snapshot = false;
         if (++failures == 1) {
-            tell_state(it, false, answer);
+            log_state(it, false, response);
         }
-        co_await wait_for(io, draw_store_pause(it.random, failures));
+        co_await async_sleep(io, draw_store_backoff(it.random, failures));
     }
 }
 
--- a/gullstall/src/edge/store_watch.hpp
+++ b/gullstall/src/edge/store_watch.hpp
@@ -11,23 +11,23 @@
 
 namespace gullstall::edge {
 
-/// Asks the platform's store and waits for the answer.
+/// Sends a request to the platform's store and awaits the response.
 using ask_store = std::function<boost::asio::awaitable<platform_answer>(platform_request)>;
 
-/// What a watch tells.
+/// Callbacks of a watch.
 struct store_watch_handlers
 {
-    std::function<void(const table_row &)> changed;
+    std::function<void(const table_row &)> on_row;
     std::function<void(const mesh::write_line &)> log;
 };
 
-/// Follows the rows whose key begins with a prefix: reads them all, then waits
-/// for changes. It goes on for as long as the process runs.
+/// Watches the rows whose keys begin with a prefix: reads them all, then waits for
+/// changes. It runs as long as the process.
 struct store_watch
 {
     std::string prefix;
     std::uint32_t wait_ms;
-    ask_store ask;
+    ask_store call;
     store_watch_handlers handlers;
     random_source random;
 };
@@ -35,13 +35,11 @@
 /// Runs a watch.
 boost::asio::awaitable<void> run_watch(boost::asio::io_context &io, store_watch it);
 
-/// \returns the pause before the next call to a store after \a failures calls
-/// in a row that failed; spread, so that nodes that failed together don't come
-/// back together
-duration draw_store_pause(random_source &random, std::uint32_t failures);
+/// \returns the randomized backoff after \a failures consecutive failed store calls;
+/// the jitter spreads the retries of nodes that failed together
+duration draw_store_backoff(random_source &random, std::uint32_t failures);
 
-/// Waits for \a pause.
-boost::asio::awaitable<void> wait_for(boost::asio::io_context &io, duration pause);
+boost::asio::awaitable<void> async_sleep(boost::asio::io_context &io, duration pause);
 
 }  // namespace gullstall::edge
 
--- a/gullstall/src/edge/upstream_client.cpp
+++ b/gullstall/src/edge/upstream_client.cpp
@@ -12,18 +12,21 @@
 namespace asio = boost::asio;
 
 upstream_client::upstream_client(asio::io_context &io, asio::ip::tcp::endpoint to,
-                                 field_names names, ended_handler ended)
-    : io_(io), to_(std::move(to)), names_(std::move(names)), ended_(std::move(ended))
+                                 field_names names, completion_handler on_complete)
+    : io_(io),
+      endpoint_(std::move(to)),
+      names_(std::move(names)),
+      on_complete_(std::move(on_complete))
 {
 }
 
-std::optional<asio::ip::tcp::socket> upstream_client::take_idle()
+std::optional<asio::ip::tcp::socket> upstream_client::take_idle_connection()
 {
     time_point at = now();
     while (!idle_.empty()) {
         idle_connection last = std::move(idle_.back());
         idle_.pop_back();
-        if (at - last.idle_since < last.reusable_for && runtime::is_fresh(last.socket)) {
+        if (at - last.idle_since < last.keep_alive_time && runtime::is_fresh(last.socket)) {
             return std::move(last.socket);
         }
     }
@@ -50,7 +53,7 @@
     exchange->cancel();
 }
 
-void upstream_client::forget_connections()
+void upstream_client::discard_connections()
 {
     ++generation_;
     idle_.clear();
@@ -58,8 +61,9 @@
 
 void upstream_client::sweep(time_point now)
 {
-    std::erase_if(
-        idle_, [now](const idle_connection &it) { return now - it.idle_since >= it.reusable_for; });
+    std::erase_if(idle_, [now](const idle_connection &it) {
+        return now - it.idle_since >= it.keep_alive_time;
+    });
 }
 
 }  // namespace gullstall::edge
--- a/gullstall/src/edge/upstream_client.hpp
+++ b/gullstall/src/edge/upstream_client.hpp
@@ -14,70 +14,70 @@
 
 namespace gullstall::edge {
 
-/// Names of the header fields by which nodes, callers and upstreams speak of a
-/// request. They belong to the platform that the node runs on.
+/// Platform-specific names of the header fields that nodes, callers and upstreams
+/// exchange with a request.
 struct field_names
 {
     std::string request_id;
-    std::string time_left_ms;       ///< milliseconds that the sender still waits
-    std::string expected_upstream;  ///< id of the incarnation that is to run the request
-    std::string caller_service;     ///< service of the instance where the request began
-    std::string not_executed;       ///< in answers: the upstream did not run the request
+    std::string time_left_ms;       ///< how long the sender still waits, in milliseconds
+    std::string expected_upstream;  ///< id of the upstream incarnation that is to run the request
+    std::string caller_service;     ///< service of the instance that issued the request
+    std::string not_executed;       ///< in responses: the upstream did not run the request
 
     bool operator==(const field_names &) const = default;
 };
 
 class upstream_exchange;
 
-/// HTTP/1.1 client to the upstream beside the node. Connections are kept.
+/// HTTP/1.1 client for the upstream on the same instance, with persistent connections.
 class upstream_client
 {
 public:
-    using ended_handler = std::function<void(run_ref, mesh::run_result &&)>;
+    using completion_handler = std::function<void(run_ref, mesh::run_result &&)>;
 
     upstream_client(boost::asio::io_context &io, boost::asio::ip::tcp::endpoint to,
-                    field_names names, ended_handler ended);
+                    field_names names, completion_handler on_complete);
 
-    /// Hands a request over. The handler is told of its end, unless cancel()
-    /// comes first.
+    /// Sends a request. The completion handler is called when it ends, unless cancel()
+    /// is called first.
     void start(mesh::start_run &&order);
 
-    /// Breaks the exchange off; the upstream sees its connection close.
+    /// Aborts the exchange by closing its connection, which the upstream can detect.
     void cancel(run_ref run);
 
-    /// Closes the connections that are idle.
-    void forget_connections();
+    /// Closes the idle connections; those in use are closed after their exchange.
+    void discard_connections();
 
-    /// Closes connections that were idle for too long.
+    /// Closes connections whose idle time has expired.
     void sweep(time_point now);
 
-    /// \returns how many connections were opened
-    std::uint64_t connects() const
+    /// \returns the number of connection attempts so far
+    std::uint64_t connections_opened() const
     {
-        return connects_;
+        return connections_opened_;
     }
 
 private:
     friend class upstream_exchange;
 
-    /// A connection without a request.
+    /// A persistent connection without a pending request.
     struct idle_connection
     {
         boost::asio::ip::tcp::socket socket;
         time_point idle_since;
-        duration reusable_for;
+        duration keep_alive_time;
     };
 
-    std::optional<boost::asio::ip::tcp::socket> take_idle();
+    std::optional<boost::asio::ip::tcp::socket> take_idle_connection();
 
     boost::asio::io_context &io_;
-    boost::asio::ip::tcp::endpoint to_;
+    boost::asio::ip::tcp::endpoint endpoint_;
     field_names names_;
-    ended_handler ended_;
+    completion_handler on_complete_;
     std::unordered_map<run_ref, std::shared_ptr<upstream_exchange>> exchanges_;
     std::vector<idle_connection> idle_;
-    std::uint64_t generation_ = 0;  ///< connections of an earlier one are not kept
-    std::uint64_t connects_ = 0;
+    std::uint64_t generation_ = 0;  ///< connections of an earlier generation are not reused
+    std::uint64_t connections_opened_ = 0;
 };
 
 }  // namespace gullstall::edge
--- a/gullstall/src/edge/upstream_exchange.cpp
+++ b/gullstall/src/edge/upstream_exchange.cpp
@@ -22,42 +22,43 @@
 
 namespace {
 
-constexpr std::uint32_t max_response_header = 65536;
-constexpr std::uint64_t max_response_body = 64U << 20U;
+constexpr std::uint32_t max_response_header_bytes = 65536;
+constexpr std::uint64_t max_response_body_bytes = 64U << 20U;
 
-/// Answers to earlier requests that may stand before the one that is waited
-/// for: an upstream may send one more answer to a request, late.
-constexpr int max_foreign_answers = 4;
+/// Number of late responses to earlier requests that are skipped before the expected
+/// one: an upstream may send a second response to a request.
+constexpr int max_stale_responses = 4;
 
-/// The upstream runs on the same instance and takes a connection in about 1 ms.
-/// One that does not answer for this long takes none.
+/// The upstream runs on the same instance and accepts a connection within about 1 ms,
+/// so that one that exceeds this timeout is not accepting connections.
 constexpr std::chrono::milliseconds connect_timeout(500);
 
-/// Idle time after which a connection is not used again when the upstream does
-/// not tell how long it keeps one.
-constexpr duration default_reuse = seconds(2);
+/// Longest idle time before reuse of a connection when the upstream sends no
+/// keep-alive timeout.
+constexpr duration default_keep_alive_time = seconds(2);
 
-/// Part of the time that the upstream tells. It counts in whole seconds from
-/// its own last byte, and a request that crosses its close is lost.
-constexpr double reuse_part = 0.7;
+/// Fraction of the upstream's keep-alive timeout during which a connection is reused.
+/// The upstream counts whole seconds from its own last byte, and a request sent while
+/// it closes the connection is lost.
+constexpr double keep_alive_fraction = 0.7;
 
-/// \returns the time in "timeout=N" of a Keep-Alive field
-duration told_reuse(const http::fields &fields)
+/// \returns the reuse time derived from "timeout=N" in a Keep-Alive field
+duration keep_alive_timeout(const http::fields &fields)
 {
     std::string_view text(fields[http::field::keep_alive].data(),
                           fields[http::field::keep_alive].size());
     std::size_t at = text.find("timeout=");
     if (at == std::string_view::npos) {
-        return default_reuse;
+        return default_keep_alive_time;
     }
     constexpr std::size_t skip = 8;
     std::string_view digits = text.substr(at + skip);
     digits = digits.substr(0, digits.find_first_not_of("0123456789"));
     double n = 0;
     if (!boost::conversion::try_lexical_convert(digits, n)) {
-        return default_reuse;
+        return default_keep_alive_time;
     }
-    return duration(static_cast<std::int64_t>(n * reuse_part * seconds(1) / duration(1)));
+    return duration(static_cast<std::int64_t>(n * keep_alive_fraction * seconds(1) / duration(1)));
 }
 
 }  // namespace
@@ -70,24 +71,24 @@
 asio::awaitable<void> upstream_exchange::run()
 {
     auto self = shared_from_this();
-    std::optional<asio::ip::tcp::socket> idle = owner_.take_idle();
+    std::optional<asio::ip::tcp::socket> idle = owner_.take_idle_connection();
     if (idle) {
         socket_ = std::move(*idle);
     } else if (!co_await connect()) {
-        end(run_result{run_end::not_sent, 0, "", "", {}});
+        complete(run_result{run_end::not_sent, 0, "", "", {}});
         co_return;
     }
-    if (ended_) {
+    if (completed_) {
         co_return;
     }
     write_request();
-    run_result result = co_await read_answer();
-    end(std::move(result));
+    run_result result = co_await read_matching_response();
+    complete(std::move(result));
 }
 
 asio::awaitable<bool> upstream_exchange::connect()
 {
-    ++owner_.connects_;
+    ++owner_.connections_opened_;
     asio::steady_timer limit(owner_.io_, connect_timeout);
     limit.async_wait([self = shared_from_this()](const error_code &ec) {
         error_code ignored;
@@ -96,7 +97,7 @@
         }
     });
     error_code ec;
-    co_await socket_.async_connect(owner_.to_, asio::redirect_error(asio::use_awaitable, ec));
+    co_await socket_.async_connect(owner_.endpoint_, asio::redirect_error(asio::use_awaitable, ec));
     limit.cancel();
     co_return !ec && runtime::set_tcp_options(socket_);
 }
@@ -114,55 +115,57 @@
     }
     head_ += "\r\n";
     std::array<asio::const_buffer, 2> bytes{asio::buffer(head_), asio::buffer(call.body)};
-    // Beside the read: an upstream may answer before it has read the whole body.
+    // Write concurrently with the read: an upstream may respond before it has read the
+    // whole body.
     asio::async_write(socket_, bytes, [self = shared_from_this()](const error_code &ec, auto) {
-        self->written_ = !ec;
+        self->request_written_ = !ec;
     });
 }
 
 asio::awaitable<bool> upstream_exchange::read_response(response_parser &parser)
 {
-    parser.header_limit(max_response_header);
-    parser.body_limit(max_response_body);
+    parser.header_limit(max_response_header_bytes);
+    parser.body_limit(max_response_body_bytes);
     parser.skip(order_.call.method == "HEAD");
     error_code ec;
     co_await http::async_read(socket_, buf_, parser, asio::redirect_error(asio::use_awaitable, ec));
     co_return !ec;
 }
 
-asio::awaitable<run_result> upstream_exchange::read_answer()
+asio::awaitable<run_result> upstream_exchange::read_matching_response()
 {
-    constexpr unsigned first_final = 200;
-    for (int i = 0; i <= max_foreign_answers; ++i) {
+    constexpr unsigned first_final_status = 200;
+    for (int i = 0; i <= max_stale_responses; ++i) {
         response_parser parser;
         if (!co_await read_response(parser)) {
-            bool was_nothing = !parser.got_some();
-            co_return run_result{was_nothing ? run_end::lost : run_end::bad_answer, 0, "", "", {}};
+            bool received_nothing = !parser.got_some();
+            co_return run_result{
+                received_nothing ? run_end::lost : run_end::bad_answer, 0, "", "", {}};
         }
         response_parser::value_type &response = parser.get();
         std::string_view echoed(response[owner_.names_.request_id].data(),
                                 response[owner_.names_.request_id].size());
-        bool is_other = !echoed.empty() && echoed != order_.call.request_id;
-        if (is_other || response.result_int() < first_final) {
+        bool is_stale = !echoed.empty() && echoed != order_.call.request_id;
+        if (is_stale || response.result_int() < first_final_status) {
             continue;
         }
-        bool said_not_run = response.find(owner_.names_.not_executed) != response.end() ||
-                            response.result() == http::status::misdirected_request;
-        if (echoed.empty() && !said_not_run) {
+        bool was_not_executed = response.find(owner_.names_.not_executed) != response.end() ||
+                                response.result() == http::status::misdirected_request;
+        if (echoed.empty() && !was_not_executed) {
             co_return run_result{run_end::bad_answer, 0, "", "", {}};
         }
-        keep_connection(response, !parser.need_eof());
-        co_return result_of(parser.release());
+        evaluate_reuse(response, !parser.need_eof());
+        co_return to_run_result(parser.release());
     }
     co_return run_result{run_end::bad_answer, 0, "", "", {}};
 }
 
-run_result upstream_exchange::result_of(response_parser::value_type &&response) const
+run_result upstream_exchange::to_run_result(response_parser::value_type &&response) const
 {
-    bool said_not_run = response.find(owner_.names_.not_executed) != response.end() ||
-                        response.result() == http::status::misdirected_request;
+    bool was_not_executed = response.find(owner_.names_.not_executed) != response.end() ||
+                            response.result() == http::status::misdirected_request;
     run_result out;
-    out.end = said_not_run ? run_end::not_executed : run_end::answered;
+    out.end = was_not_executed ? run_end::not_executed : run_end::answered;
     out.status = static_cast<std::uint16_t>(response.result_int());
     out.status_text = std::string(response.reason());
     out.header_lines = end_to_end_lines(response);
@@ -170,38 +173,38 @@
     return out;
 }
 
-/// Decides whether the connection can carry another request. Bytes beyond the
-/// answer would be taken for the next one, and a request whose body the
-/// upstream has not taken yet would be followed by other bytes.
-void upstream_exchange::keep_connection(const response_parser::value_type &response, bool is_framed)
+/// Decides whether the connection can be reused. Surplus bytes after the response
+/// would be parsed as the next response, and a request that is not fully written would
+/// corrupt the next one.
+void upstream_exchange::evaluate_reuse(const response_parser::value_type &response, bool is_framed)
 {
-    reusable_ = is_framed && response.keep_alive() && written_ && buf_.size() == 0 &&
+    reusable_ = is_framed && response.keep_alive() && request_written_ && buf_.size() == 0 &&
                 generation_ == owner_.generation_;
-    reusable_for_ = told_reuse(response);
+    keep_alive_time_ = keep_alive_timeout(response);
 }
 
 void upstream_exchange::cancel()
 {
-    ended_ = true;
+    completed_ = true;
     error_code ec;
     socket_.close(ec);
 }
 
-void upstream_exchange::end(run_result &&result)
+void upstream_exchange::complete(run_result &&result)
 {
-    if (ended_) {
+    if (completed_) {
         return;
     }
-    ended_ = true;
+    completed_ = true;
     error_code ec;
     if (reusable_) {
-        owner_.idle_.push_back({std::move(socket_), now(), reusable_for_});
+        owner_.idle_.push_back({std::move(socket_), now(), keep_alive_time_});
     } else {
         socket_.close(ec);
     }
     run_ref id = order_.run;
     owner_.exchanges_.erase(id);
-    owner_.ended_(id, std::move(result));
+    owner_.on_complete_(id, std::move(result));
 }
 
 }  // namespace gullstall::edge
--- a/gullstall/src/edge/upstream_exchange.hpp
+++ b/gullstall/src/edge/upstream_exchange.hpp
@@ -9,7 +9,7 @@
 
 namespace gullstall::edge {
 
-/// One request to the upstream and its answer.
+/// A request to the upstream and its response.
 class upstream_exchange : public std::enable_shared_from_this<upstream_exchange>
 {
 public:
@@ -23,12 +23,12 @@
         boost::beast::http::response_parser<boost::beast::http::vector_body<std::uint8_t>>;
 
     boost::asio::awaitable<bool> connect();
-    boost::asio::awaitable<mesh::run_result> read_answer();
+    boost::asio::awaitable<mesh::run_result> read_matching_response();
     boost::asio::awaitable<bool> read_response(response_parser &parser);
     void write_request();
-    mesh::run_result result_of(response_parser::value_type &&response) const;
-    void keep_connection(const response_parser::value_type &response, bool is_whole);
-    void end(mesh::run_result &&result);
+    mesh::run_result to_run_result(response_parser::value_type &&response) const;
+    void evaluate_reuse(const response_parser::value_type &response, bool is_framed);
+    void complete(mesh::run_result &&result);
 
     upstream_client &owner_;
     mesh::start_run order_;
@@ -36,10 +36,10 @@
     boost::asio::ip::tcp::socket socket_;
     boost::beast::flat_buffer buf_;
     std::uint64_t generation_;
-    bool written_ = false;
-    bool ended_ = false;
+    bool request_written_ = false;
+    bool completed_ = false;
     bool reusable_ = false;
-    duration reusable_for_{};
+    duration keep_alive_time_{};
 };
 
 }  // namespace gullstall::edge
--- a/test/runtime/byte_packer.cpp
+++ b/test/runtime/byte_packer.cpp
@@ -5,22 +5,23 @@
 #include "gullstall/src/wire/frame_codec.hpp"
 
 using namespace gullstall;
-using edge::byte_packer;
-using edge::byte_unpacker;
+using edge::frame_compressor;
+using edge::frame_decompressor;
 
 namespace {
 
-constexpr std::size_t most = 1U << 20U;
+constexpr std::size_t max_bytes = 1U << 20U;
 
-/// Both sides of one direction of a connection.
-struct packed_stream
+/// The compressor and decompressor of one direction of a connection.
+struct compressed_stream
 {
-    byte_packer packer = value_of(edge::make_packer());
-    byte_unpacker unpacker = value_of(edge::make_unpacker());
+    frame_compressor compressor = value_of(edge::make_compressor());
+    frame_decompressor decompressor = value_of(edge::make_decompressor());
 
-    std::string through(const std::string &bytes)
+    std::string round_trip(const std::string &bytes)
     {
-        result<std::string> out = unpack_bytes(unpacker, pack_bytes(packer, bytes), most);
+        result<std::string> out =
+            decompress_bytes(decompressor, compress_bytes(compressor, bytes), max_bytes);
         return succeeded(out) ? value_of(out) : "unreadable";
     }
 };
@@ -56,53 +57,53 @@
 
 }  // namespace
 
-TEST_CASE("packed stream, frames of any size, come out as they went in")
+TEST_CASE("compressed stream, frames of any size, round-trip unchanged")
 {
-    packed_stream subject;
+    compressed_stream subject;
     for (std::size_t n : {0U, 1U, 4U, 300U, 16383U, 16384U, 16385U, 70000U}) {
         CAPTURE(n);
-        bool same_letters = subject.through(std::string(n, 'a')) == std::string(n, 'a');
-        CHECK(same_letters);
+        bool same_run = subject.round_trip(std::string(n, 'a')) == std::string(n, 'a');
+        CHECK(same_run);
         std::string noise = random_bytes(n, n);
-        bool same_noise = subject.through(noise) == noise;
+        bool same_noise = subject.round_trip(noise) == noise;
         CHECK(same_noise);
     }
-    std::string end_of_flush("\x00\x00\xff\xff", 4);
-    bool same_end = subject.through(end_of_flush) == end_of_flush;
-    CHECK(same_end);
+    std::string flush_trailer("\x00\x00\xff\xff", 4);
+    bool same_trailer = subject.round_trip(flush_trailer) == flush_trailer;
+    CHECK(same_trailer);
 }
 
-// Story: bytes between availability zones are paid for, and most are names that
-// stand in every call. Packed one call at a time, as under little load, calls
-// between two nodes take 323 bytes before and 57 after.
-TEST_CASE("packed stream, calls of one route, take a quarter of their bytes")
+// Traffic between availability zones is billed, and most bytes of a call are names
+// that repeat in every call. Compressed one at a time, as under low load, calls
+// between two nodes shrink from 323 to 57 bytes.
+TEST_CASE("compressed stream, calls of one route, shrink to a quarter")
 {
-    packed_stream subject;
+    compressed_stream subject;
     std::size_t plain = 0;
-    std::size_t packed = 0;
+    std::size_t compressed = 0;
     for (std::uint64_t i = 1; i <= 200; ++i) {
         std::string frame = call_frame(i);
         plain += frame.size();
-        packed += pack_bytes(subject.packer, frame).size();
+        compressed += compress_bytes(subject.compressor, frame).size();
     }
-    MESSAGE("bytes of a call: " << plain / 200 << " before, " << packed / 200 << " after");
-    CHECK(packed * 4 < plain);
+    MESSAGE("bytes of a call: " << plain / 200 << " before, " << compressed / 200 << " after");
+    CHECK(compressed * 4 < plain);
 }
 
-TEST_CASE("packed stream, bytes that no packer made, are refused")
+TEST_CASE("compressed stream, invalid data, is rejected")
 {
-    packed_stream subject;
-    CHECK_FALSE(succeeded(unpack_bytes(subject.unpacker, random_bytes(500, 3), most)));
+    compressed_stream subject;
+    CHECK_FALSE(succeeded(decompress_bytes(subject.decompressor, random_bytes(500, 3), max_bytes)));
 }
 
-// Story: a peer sends a few bytes that unpack to gigabytes, and the instance
-// has memory for neither.
-TEST_CASE("packed stream, more than allowed, is refused")
+// Guards against decompression bombs: a few bytes from a peer that decompress to
+// gigabytes would exhaust the memory of the instance.
+TEST_CASE("compressed stream, output over the limit, is rejected")
 {
-    packed_stream subject;
-    std::string packed = pack_bytes(subject.packer, std::string(2 * most, 'a'));
-    CHECK(packed.size() < most / 50);
-    result<std::string> read = unpack_bytes(subject.unpacker, packed, most);
+    compressed_stream subject;
+    std::string compressed = compress_bytes(subject.compressor, std::string(2 * max_bytes, 'a'));
+    CHECK(compressed.size() < max_bytes / 50);
+    result<std::string> read = decompress_bytes(subject.decompressor, compressed, max_bytes);
     REQUIRE_FALSE(succeeded(read));
     CHECK(error_of(read).code == error_code::too_large);
 }
--- a/test/runtime/chain_store.cpp
+++ b/test/runtime/chain_store.cpp
@@ -13,21 +13,22 @@
 
 namespace asio = boost::asio;
 
-/// A store in memory that may be away for some calls, and what a node was told.
+/// An in-memory store that can be unavailable for some calls, and the results seen by
+/// a node.
 struct chain_store_fixture
 {
     asio::io_context io;
     std::map<std::string, table_row> rows;
     std::uint64_t version = 0;
-    int away_calls = 0;
+    int unavailable_calls = 0;
     std::map<std::string, mesh::calls_per_run> found;
     std::vector<std::string> events;
 
     asio::awaitable<platform_answer> ask(platform_request what)
     {
         co_await asio::post(io, asio::use_awaitable);
-        if (away_calls > 0) {
-            --away_calls;
+        if (unavailable_calls > 0) {
+            --unavailable_calls;
             co_return platform_answer{platform_status::unavailable, {}, {}};
         }
         platform_answer out{platform_status::done, {}, {}};
@@ -70,14 +71,15 @@
 
 }  // namespace
 
-// Story: all nodes lose power at once, while the store is slow to come back. What runs
-// call is read as soon as it answers, so that requests whose calls meet services that
-// are not back yet are refused and can come again.
-TEST_CASE_FIXTURE(chain_store_fixture, "chains, store away at the start, are read when it is back")
+// All nodes lose power at once and the store recovers late. The call chains must be
+// read as soon as the store responds, so that requests whose calls reach services that
+// are not up yet are refused with a retry.
+TEST_CASE_FIXTURE(chain_store_fixture,
+                  "chains, store unavailable at start, are read on its recovery")
 {
     rows["c/list"] = table_row{"c/list", 3, "8"};
     rows["c/bad"] = table_row{"c/bad", 4, ""};
-    away_calls = 2;
+    unavailable_calls = 2;
     edge::chain_store it = subject();
     asio::co_spawn(io, edge::load_chains(io, it), asio::detached);
     io.run();
@@ -86,7 +88,7 @@
     CHECK(events == std::vector<std::string>{"store-lost", "chain-row-unreadable", "chains-read"});
 }
 
-TEST_CASE_FIXTURE(chain_store_fixture, "chain, another node was faster, its row stands")
+TEST_CASE_FIXTURE(chain_store_fixture, "chain, conflicting write of another node, its row is kept")
 {
     edge::chain_store first = subject();
     edge::chain_store second = subject();
--- a/test/runtime/node_registration.cpp
+++ b/test/runtime/node_registration.cpp
@@ -15,7 +15,7 @@
 
 namespace asio = boost::asio;
 
-/// A store in memory, and nodes that register there.
+/// An in-memory store and nodes that register in it.
 struct registration_fixture
 {
     asio::io_context io;
@@ -28,7 +28,7 @@
     asio::awaitable<platform_answer> ask(platform_request what)
     {
         ++calls;
-        // Another node may come in between: the answer is made at a later turn.
+        // Respond in a later iteration, so that calls of several nodes interleave.
         co_await asio::post(io, asio::use_awaitable);
         platform_answer out{platform_status::done, {}, {}};
         if (const table_commit *commit = std::get_if<table_commit>(&what)) {
@@ -79,9 +79,10 @@
 
 }  // namespace
 
-// Story: two instances start at the same moment. If each reads the store before
-// it writes its own row, both miss the other, and neither ever connects.
-TEST_CASE_FIXTURE(registration_fixture, "nodes started together, of each two, one finds the other")
+// Two instances start at the same time. If each read the store before it wrote its own
+// row, both would miss the other and never connect.
+TEST_CASE_FIXTURE(registration_fixture,
+                  "nodes started concurrently, of any two, one finds the other")
 {
     bool done[3] = {};
     edge::node_registration a = node("a");
@@ -98,7 +99,7 @@
     CHECK(calls == 9);
 }
 
-TEST_CASE_FIXTURE(registration_fixture, "node started again, row stands there, needs one call")
+TEST_CASE_FIXTURE(registration_fixture, "node restarted, row up to date, needs one call")
 {
     rows["n/a"] = table_row{"n/a", 5, "at a"};
     bool done = false;
@@ -109,9 +110,9 @@
     CHECK(calls == 1);
 }
 
-// Story: the store writes the row and its answer is lost. Told again, the write
-// would conflict with itself; the next reading finds the row instead.
-TEST_CASE_FIXTURE(registration_fixture, "node, answer to its write lost, is done at the next try")
+// The store writes the row but its response is lost. A repeated write would conflict
+// with the first one; the next scan must find the row instead.
+TEST_CASE_FIXTURE(registration_fixture, "node, response to its write lost, succeeds on retry")
 {
     next_write = platform_status::lost;
     bool first = true;
--- a/test/runtime/peer_links.cpp
+++ b/test/runtime/peer_links.cpp
@@ -14,20 +14,20 @@
 using edge::peer_link_handlers;
 using edge::peer_links;
 
-/// One node's side of the connections, and what came over them.
-struct linked_node
+/// One node's connections and what it received over them.
+struct test_node
 {
     std::string name;
     std::string zone;
     std::vector<mesh_wire::call_message> calls;
     std::vector<mesh_wire::reply_message> replies;
-    std::vector<std::string> lost;
-    bool linked = false;
+    std::vector<std::string> disconnect_reasons;
+    bool connected = false;
     std::uint16_t port;
     std::unique_ptr<asio::io_context> io;
     std::unique_ptr<peer_links> links;
 
-    linked_node(std::string node, std::string its_zone, std::uint16_t at)
+    test_node(std::string node, std::string its_zone, std::uint16_t at)
         : name(std::move(node)), zone(std::move(its_zone)), port(at)
     {
         start();
@@ -40,7 +40,8 @@
             *io, asio::ip::tcp::endpoint(asio::ip::address_v4::loopback(), port), handlers());
     }
 
-    /// Ends as a killed process does: nothing runs any more, sockets are closed.
+    /// Behaves like a killed process: nothing runs any more and the sockets are
+    /// closed.
     void kill()
     {
         links.reset();
@@ -58,28 +59,30 @@
     peer_link_handlers handlers()
     {
         peer_link_handlers out;
-        out.own_hello = [this] {
+        out.make_hello = [this] {
             mesh_wire::hello_message it;
             it.node = name;
             it.zone = zone;
             return it;
         };
-        out.linked = [this](const std::string &) { linked = true; };
-        out.lost = [this](const std::string &, const std::string &why,
-                          const std::vector<std::uint64_t> &) { lost.push_back(why); };
-        out.from_node = [this](const std::string &, mesh_wire::frame_message &&frame) {
+        out.on_connected = [this](const std::string &) { connected = true; };
+        out.on_disconnected = [this](const std::string &, const std::string &why,
+                                     const std::vector<std::uint64_t> &) {
+            disconnect_reasons.push_back(why);
+        };
+        out.on_node_frame = [this](const std::string &, mesh_wire::frame_message &&frame) {
             if (mesh_wire::reply_message *reply = frame.payload.Asreply()) {
                 replies.push_back(std::move(*reply));
             }
         };
-        out.from_link = [this](mesh::link_ref link, mesh_wire::frame_message &&frame) {
+        out.on_link_frame = [this](mesh::link_ref link, mesh_wire::frame_message &&frame) {
             on_link_frame(link, std::move(frame));
         };
-        out.link_lost = [](mesh::link_ref) {};
+        out.on_link_closed = [](mesh::link_ref) {};
         return out;
     }
 
-    /// Answers a hello with a status, and a call with its own body.
+    /// Responds to a hello with a status, and to a call by echoing its body.
     void on_link_frame(mesh::link_ref link, mesh_wire::frame_message &&frame)
     {
         if (frame.payload.Ashello() != nullptr) {
@@ -96,20 +99,20 @@
     }
 };
 
-/// Two nodes of two availability zones on loopback.
+/// Two nodes in different availability zones, connected over loopback.
 struct peer_links_fixture
 {
     static constexpr std::uint16_t first_port = 21871;
-    linked_node a{"a", "zone-1", first_port};
-    linked_node b{"b", "zone-2", first_port + 1};
+    test_node a{"a", "zone-1", first_port};
+    test_node b{"b", "zone-2", first_port + 1};
 
     peer_links_fixture()
     {
         a.links->connect(mesh::node_address{"b", "zone-2", endpoint{"127.0.0.1", first_port + 1}});
-        run_until([this] { return a.linked; });
+        run_until([this] { return a.connected; });
     }
 
-    /// Runs until \a done, or gives up after ten seconds.
+    /// Runs until \a done returns true, for at most ten seconds.
     void run_until(const std::function<bool()> &done)
     {
         time_point end = edge::now() + seconds(10);
@@ -137,12 +140,13 @@
 
 }  // namespace
 
-// Story: frames between zones are packed, and long ones among them are not. A
-// caller gets the answer to another request, or none, when the two kinds change
-// places or a block is read with the wrong history.
-TEST_CASE_FIXTURE(peer_links_fixture, "calls between zones, short and long, arrive whole in order")
+// Frames between zones are compressed, except large ones. Reordering the two kinds or
+// decompressing a block with the wrong history would match a reply to the wrong
+// request or lose it.
+TEST_CASE_FIXTURE(peer_links_fixture,
+                  "calls between zones, short and long, arrive intact and in order")
 {
-    REQUIRE(a.linked);
+    REQUIRE(a.connected);
     const std::vector<std::size_t> sizes{0, 10, 9000, 20, 70000, 300, 300, 8100, 8300, 0};
     for (std::uint64_t i = 0; i < 100; ++i) {
         call(i + 1, sizes[i % sizes.size()]);
@@ -160,26 +164,26 @@
         bool same_reply = a.replies[i].correlation == i + 1 && a.replies[i].body == sent[i].body;
         CHECK(same_reply);
     }
-    CHECK(a.lost.empty());
+    CHECK(a.disconnect_reasons.empty());
 }
 
-// Story: a node's process is killed and started again. The packed stream to the
-// old process must not go on at the new one, whose history is empty.
-TEST_CASE_FIXTURE(peer_links_fixture, "node started again, calls after it, arrive whole")
+// A node's process is killed and restarted. The compressed stream to the old process
+// must not continue on the connection to the new one, whose history is empty.
+TEST_CASE_FIXTURE(peer_links_fixture, "node restarted, later calls, arrive intact")
 {
-    REQUIRE(a.linked);
+    REQUIRE(a.connected);
     call(1, 500);
     run_until([this] { return a.replies.size() == 1; });
-    a.linked = false;
+    a.connected = false;
     b.kill();
-    run_until([this] { return !a.lost.empty(); });
-    CHECK(a.lost.size() == 1);
+    run_until([this] { return !a.disconnect_reasons.empty(); });
+    CHECK(a.disconnect_reasons.size() == 1);
     b.start();
     run_until([this] {
         a.links->tick(edge::now());
-        return a.linked;
+        return a.connected;
     });
-    REQUIRE(a.linked);
+    REQUIRE(a.connected);
     call(2, 500);
     run_until([this] { return a.replies.size() == 2; });
     REQUIRE(b.calls.size() == 2);
--- a/test/runtime/store_watch.cpp
+++ b/test/runtime/store_watch.cpp
@@ -15,15 +15,15 @@
 
 namespace asio = boost::asio;
 
-/// A watch over a store whose answers the test gives.
+/// A watch of a store whose responses are scripted by the test.
 struct watch_fixture
 {
     asio::io_context io;
     std::deque<platform_answer> answers;
-    std::vector<platform_request> asked;
+    std::vector<platform_request> requests;
     std::vector<std::string> seen;
 
-    /// Runs the watch until all answers are used up.
+    /// Runs the watch until all scripted responses are used.
     void run()
     {
         edge::store_watch it{"t/",
@@ -38,7 +38,7 @@
 
     asio::awaitable<platform_answer> answer(platform_request what)
     {
-        asked.push_back(std::move(what));
+        requests.push_back(std::move(what));
         platform_answer out{platform_status::lost, {}, {}};
         if (answers.empty()) {
             io.stop();
@@ -59,45 +59,45 @@
 
 }  // namespace
 
-TEST_CASE_FIXTURE(watch_fixture, "watch, rows and then changes, are told in order")
+TEST_CASE_FIXTURE(watch_fixture, "watch, rows and then changes, are reported in order")
 {
     answers = {rows(4, "a"), rows(6, "b")};
     run();
     CHECK(seen == std::vector<std::string>{"a", "b"});
-    REQUIRE(asked.size() == 3);
-    CHECK(asked[0] == platform_request(table_scan{"t/"}));
-    CHECK(asked[1] == platform_request(table_feed{"t/", 4, 1000}));
-    CHECK(asked[2] == platform_request(table_feed{"t/", 6, 1000}));
+    REQUIRE(requests.size() == 3);
+    CHECK(requests[0] == platform_request(table_scan{"t/"}));
+    CHECK(requests[1] == platform_request(table_feed{"t/", 4, 1000}));
+    CHECK(requests[2] == platform_request(table_feed{"t/", 6, 1000}));
 }
 
-// Story: the store falls silent and comes back. A node that goes on with its feed
-// learns a change of the meantime only when the feed ends or the next change is
-// made, and serves by the old policy for all that time.
-TEST_CASE_FIXTURE(watch_fixture, "watch after a lost answer, reads all rows anew")
+// The store stops responding and recovers. A node that resumed its feed would see a
+// change made in between only when the feed times out or the next change is made, and
+// would apply the old policy until then.
+TEST_CASE_FIXTURE(watch_fixture, "watch after a lost response, rescans all rows")
 {
     answers = {rows(4, "a"), platform_answer{platform_status::lost, {}, {}}, rows(9, "c")};
     run();
     CHECK(seen == std::vector<std::string>{"a", "c"});
-    REQUIRE(asked.size() == 4);
-    CHECK(asked[2] == platform_request(table_scan{"t/"}));
-    CHECK(asked[3] == platform_request(table_feed{"t/", 9, 1000}));
+    REQUIRE(requests.size() == 4);
+    CHECK(requests[2] == platform_request(table_scan{"t/"}));
+    CHECK(requests[3] == platform_request(table_feed{"t/", 9, 1000}));
 }
 
-TEST_CASE_FIXTURE(watch_fixture, "watch whose history is gone, reads all rows anew")
+TEST_CASE_FIXTURE(watch_fixture, "watch whose history is gone, rescans all rows")
 {
     answers = {rows(4, "a"), platform_answer{platform_status::history_gone, {}, {}}, rows(9, "c")};
     run();
-    REQUIRE(asked.size() == 4);
-    CHECK(asked[2] == platform_request(table_scan{"t/"}));
+    REQUIRE(requests.size() == 4);
+    CHECK(requests[2] == platform_request(table_scan{"t/"}));
 }
 
-// Story: the store is cut off and answers no connection attempt. A feed that may
-// wait for ten seconds must not wait as long for its connection: the node would
-// try again only after the store has long been back.
-TEST_CASE("request with a long timeout, server takes no connection, ends in about a second")
+// The store is unreachable and does not accept connections. A feed may wait ten
+// seconds for its response, but not for its connection, or the node would retry only
+// long after the store has recovered.
+TEST_CASE("request with a long timeout, server accepts no connection, ends in about a second")
 {
     asio::io_context io;
-    // A listening socket with a full queue of new connections drops what comes.
+    // A listening socket with a full accept queue drops new connections.
     asio::ip::tcp::acceptor full(io);
     full.open(asio::ip::tcp::v4());
     full.bind({asio::ip::make_address("127.0.0.1"), 0});
@@ -107,7 +107,7 @@
         fillers.emplace_back(io);
         fillers.back().open(asio::ip::tcp::v4());
         fillers.back().native_non_blocking(true);
-        // Not Asio's own connect: it waits for what never comes.
+        // Asio's own connect would wait for a completion that never comes.
         auto at = full.local_endpoint();
         int rc = ::connect(fillers.back().native_handle(), at.data(), at.size());
         CHECK((rc == 0 || errno == EINPROGRESS));
