--- a/gullstall/src/node/action.hpp
+++ b/gullstall/src/node/action.hpp
@@ -19,10 +19,10 @@
 {
     wire::outcome outcome;
     wire::refusal refusal;
-    std::string refused_by;  ///< service that refused, empty when none did
+    std::string refused_by;  ///< service that refused the call, or empty
     std::string request_id;
-    std::uint16_t status;          ///< worker's status when outcome is ran, else 0
-    std::uint32_t retry_after_ms;  ///< when to come back, 0: no advice
+    std::uint16_t status;          ///< status of the worker if outcome is ran, otherwise 0
+    std::uint32_t retry_after_ms;  ///< suggested delay before a repeat; 0 for no suggestion
     std::uint64_t bundle_version;
     std::string content_type;
     body_bytes body;
@@ -30,7 +30,7 @@
     bool operator==(const caller_answer &) const = default;
 };
 
-/// Answer the caller, finally.
+/// Send the caller its final answer.
 struct answer_call
 {
     call_ref call;
@@ -40,43 +40,43 @@
 /// Send a frame to another node.
 struct send_frame
 {
-    std::string instance;  ///< empty: whoever listens at \a to (first contact)
+    std::string instance;  ///< if empty, whichever node listens at \a to (first contact)
     endpoint to;
     wire::frame_message frame;
 };
 
-/// Run a call on the own worker.
+/// Run a call on the local worker.
 struct run_on_worker
 {
     run_ref run;
     std::string request_id;
     std::string key;
-    std::string context;  ///< to be passed on by the worker in its own calls
+    std::string context;  ///< the worker passes it on in the calls that it issues
     std::string operation;
     duration time_left;
     body_bytes body;
 };
 
-/// Break off a run; the worker sees its connection close.
+/// Cancel a run by closing its connection to the worker.
 struct cancel_on_worker
 {
     run_ref run;
 };
 
-/// Find out whether the own worker takes connections; answered by
+/// Check whether the local worker accepts connections; the result comes as
 /// worker_checked.
 struct check_worker
 {
 };
 
-/// Ask the platform.
+/// Send a request to the platform; the answer comes as platform_answered.
 struct ask_platform
 {
     platform_ref request;
     platform_request what;
 };
 
-/// Answer a question on the admin port.
+/// Answer a request on the admin port.
 struct answer_admin
 {
     admin_ref question;
@@ -85,7 +85,7 @@
     std::string body;
 };
 
-/// Everything in flight is finished: the process may end.
+/// Exit the process; nothing is in flight any more.
 struct stop_now
 {
 };
@@ -99,15 +99,15 @@
         warning
     };
     severity level;
-    std::string part;  ///< prefix of the part that speaks
+    std::string part;  ///< component that writes the line
     std::string text;
 };
 
-/// All that a node may ask of its surroundings.
+/// Any action that step() returns.
 using action = std::variant<answer_call, send_frame, run_on_worker, cancel_on_worker, ask_platform,
                             answer_admin, stop_now, write_log, check_worker>;
 
-/// Actions in the order in which they are to be carried out.
+/// Actions, to be carried out in this order.
 using actions = std::vector<action>;
 
 }  // namespace gullstall
--- a/gullstall/src/node/admission.cpp
+++ b/gullstall/src/node/admission.cpp
@@ -6,26 +6,27 @@
 
 namespace {
 
-/// Waits that a request with slots spent above may meet, in slots: beyond it
-/// the time left is better spent on another request.
+/// Maximum queue length per slot for requests that have used slots at services
+/// above. Behind a longer queue the remaining time is better spent on another request.
 constexpr std::size_t worked_per_slot = 4;
 
-/// Queue of protected calls that lets the level go into their classes, in target
-/// waits. A short one is passed by chance at 80 % load, and would refuse calls
-/// that there is room for.
+/// Queue of protected calls, in multiples of the target wait, from which the
+/// admission level may fall into their classes. A shorter one is exceeded by
+/// chance at 80 % load, so that calls were refused although there was capacity.
 constexpr double protected_targets = 2;
 
-/// Answers of a worker from this status on are not whole.
+/// From this status on an answer may have stopped before it reached all services.
 constexpr std::uint16_t first_error_status = 400;
 
-/// \returns whether slots at services above were spent on the call already
+/// \returns whether slots at services above have already been used for the call
 bool is_worked(const node &n, const wire::call_message &call)
 {
     return n.rules.keep_worked && call.depth > 0;
 }
 
-/// Ranks by which the levels of a service's instances differ. The entry judges
-/// by their average, and the request may reach the instance with the lowest.
+/// Tolerance, in ranks, for levels that differ between instances of a service.
+/// The entry node checks a request against their average, but the request may
+/// reach the instance with the lowest level.
 constexpr int instance_spread = 64;
 
 admission_level widened(admission_level it)
@@ -94,7 +95,7 @@
     }
     bool whole = reply.outcome == wire::outcome::ran && reply.status < first_error_status;
     if (call.parent || !whole) {
-        return;  // it may have stopped before it reached all that it would have
+        return;  // it may have stopped before it reached all its services
     }
     for (const auto &[service, share] : known.touched[type]) {
         if (std::find(reply.touched.begin(), reply.touched.end(), service) == reply.touched.end()) {
@@ -111,7 +112,7 @@
     if (t.n.slots == 0 || !t.n.bundles.in_force) {
         return wire::refusal::starting;
     }
-    // Protected calls overtake the queue, so that its wait is not theirs.
+    // Protected calls overtake the queue and don't wait for it.
     duration wait = call.protect ? duration{} : expected_wait(t.n);
     if (t.n.rules.refuse_hopeless &&
         !can_finish(t.n.times, call.operation, wait, microseconds(call.left_us))) {
@@ -119,9 +120,9 @@
     }
     priority of_call = priority_of(call);
     bool admitted = admits(t.n.level.level, of_call);
-    // The entry judged this request by a level that this service had a moment
-    // ago. Refusing it now wastes the slots spent since; the queue bounds how
-    // many come too much. One that the entry did not judge is refused here.
+    // The entry node admitted this request by an earlier level of this service.
+    // Refusing it now would waste the slots used since then; the queue limit
+    // bounds the excess. Other requests are checked against the current level.
     admitted =
         admitted || (is_worked(t.n, call) && admits(widened(recent_level(t.n.level)), of_call));
     note_arrival(t.n.level, of_call, call.protect, admitted);
--- a/gullstall/src/node/answer.cpp
+++ b/gullstall/src/node/answer.cpp
@@ -49,7 +49,7 @@
     ++t.n.counters.refusals[name + "/" + std::to_string(request.class_priority)];
 }
 
-/// Logs a call whose caller is told that nobody knows whether it ran.
+/// Logs a call that is answered with an unknown outcome.
 void log_failed(turn &t, const pending_call &call, const std::string &refused_by,
                 const std::string &description)
 {
@@ -59,8 +59,8 @@
             " after_ms=" + std::to_string(to_ms(t.now - call.taken_at)));
 }
 
-/// Hands the final answer to whoever asked: a caller, or the node that sent
-/// the call on to the issuer of its key.
+/// Sends the final answer to all callers, or to the node that forwarded the call
+/// to the issuer of its key.
 void give_answer(turn &t, pending_call &call, wire::reply_message &reply)
 {
     if (call.origin) {
@@ -87,13 +87,13 @@
 
 }  // namespace
 
-/// Answers the caller; this is the one place where a call ends with an answer.
+/// Answers the callers and removes the call. Every answered call ends here.
 void finish_call(turn &t, call_ref id, wire::reply_message &reply)
 {
     pending_call &call = t.n.calls.at(id);
     bool ran = reply.outcome == wire::outcome::ran;
     if (!ran && call.may_have_run) {
-        // An earlier attempt may have run: nobody can say `not run` any more.
+        // An earlier attempt may have run, so not_run can't be guaranteed.
         reply.outcome = wire::outcome::unknown;
     }
     end_once_call(t, call, reply);
--- a/gullstall/src/node/attempt.cpp
+++ b/gullstall/src/node/attempt.cpp
@@ -26,14 +26,16 @@
 
 namespace {
 
-/// Time in which a replaced upstream comes back, or a node that has started hears of others.
+/// Maximum wait for an upstream: long enough for a replaced upstream to return, or
+/// for a started node to learn of other members.
 constexpr duration longest_wait_for_upstream = seconds(1);
 
-/// Part of its time left for which a call waits for an upstream: the rest is for its run.
+/// A call waits for an upstream for its remaining time divided by this; the rest is
+/// left for its run.
 constexpr int wait_part = 2;
 
-/// Lets a call of a run wait for an upstream of its service. Refused, it would end the run
-/// with an error that is kept as the outcome of the run's key.
+/// Lets a call issued by a run wait for an upstream of its service. If it were refused, the
+/// run would end with an error, which is stored as the outcome of the run's key.
 /// \returns whether it waits
 bool wait_for_upstream(turn &t, pending_call &call)
 {
@@ -56,12 +58,12 @@
 
 }  // namespace
 
-/// Sends the call to an upstream that was not tried yet.
+/// Sends the call to an upstream that has not been tried yet.
 void start_call(turn &t, call_ref id)
 {
     pending_call &call = t.n.calls.at(id);
     if (refuses_suspect(t, call.request)) {
-        // It ran before, on the workers that it took down.
+        // It may have run on the workers that crashed.
         wire::reply_message reply = refusal_reply(wire::refusal::suspect, call.request.service);
         reply.outcome = wire::outcome::unknown;
         finish_call(t, id, reply);
@@ -91,7 +93,7 @@
         if (found == t.n.calls.end() || found->second.current) {
             continue;
         }
-        // Upstreams that refused it may have started again.
+        // Upstreams that refused it may have been restarted.
         found->second.tried.clear();
         start_call(t, id);
     }
@@ -102,7 +104,7 @@
 bool worth_resending(const pending_call &call, const wire::reply_message &reply)
 {
     if (call.request.to_issuer) {
-        return false;  // only the issuer may run it, and it re-sends by itself
+        return false;  // only the issuer may run it, and the issuer retries
     }
     switch (reply.refusal) {
         case wire::refusal::leaving:
@@ -116,8 +118,8 @@
     }
 }
 
-/// Sends the call once more when the request's allowance and the service's
-/// budget both pay for it.
+/// Retries the call if both the allowance of the request and the retry budget of
+/// the service permit it.
 bool try_resend(turn &t, call_ref id)
 {
     pending_call &call = t.n.calls.at(id);
@@ -133,14 +135,14 @@
     return true;
 }
 
-/// Ends the current attempt with \a reply: re-sends or answers.
+/// Ends the current attempt with \a reply: retries or finishes the call.
 void end_attempt(turn &t, call_ref id, wire::reply_message &reply)
 {
     pending_call &call = t.n.calls.at(id);
     return_share(call.retries, call.current->share, reply.unspent);
     t.n.attempts.erase(call.current->correlation);
     call.current.reset();
-    // The issuer of the key says `not run` only when it knows.
+    // The issuer of the key reports not_run only if it is certain.
     call.settled = call.request.to_issuer && reply.refusal != wire::refusal::connection_lost;
     call.may_have_run = call.may_have_run || reply.outcome == wire::outcome::unknown;
     if (worth_resending(call, reply) && try_resend(t, id)) {
@@ -149,7 +151,7 @@
     finish_call(t, id, reply);
 }
 
-/// Tells the router what a reply says of the upstream.
+/// Updates the routing statistics of the upstream.
 void note_reply(router &routes, const std::string &from, const wire::reply_message &reply,
                 duration took, time_point now)
 {
@@ -158,8 +160,8 @@
     } else if (reply.outcome == wire::outcome::not_run) {
         note_refused(routes, from, now);
     } else {
-        // Also one that ran into its deadline: the time it took makes the
-        // upstream look slow, which a silent one is.
+        // This includes expired calls: their duration marks an unresponsive
+        // upstream as slow.
         note_answered(routes, from, took);
     }
 }
@@ -170,12 +172,12 @@
 {
     auto known = t.n.attempts.find(reply.correlation);
     if (known == t.n.attempts.end()) {
-        return;  // late: its call has its answer already
+        return;  // late reply: the call has already been answered
     }
     call_ref id = known->second;
     pending_call &call = t.n.calls.at(id);
     if (call.current->instance != from) {
-        return;  // the number belongs to another node's attempt
+        return;  // the correlation belongs to an attempt at another node
     }
     if (reply.leaving) {
         note_leaving(t.n.routes, from, t.now);
--- a/gullstall/src/node/bundle_control.cpp
+++ b/gullstall/src/node/bundle_control.cpp
@@ -2,15 +2,15 @@
 
 #include "gullstall/src/node/internal.hpp"
 
-/// How a node follows the bundles. What is heard, fetched and begun with is
-/// decided in gullstall/src/bundle/follow.hpp; this file turns it into frames
-/// and requests to the platform.
+/// Distribution of bundles. gullstall/src/bundle/follow.hpp decides which version
+/// to fetch, from where, and which one to start with; this file sends the frames
+/// and the requests to the platform.
 namespace gullstall::internal {
 
 namespace {
 
-/// No row has this version: a conditional write that expects it changes nothing
-/// and is answered with the rows as they stand.
+/// Version that no row has. A conditional write that expects it always fails and
+/// returns the current rows.
 constexpr std::uint64_t impossible_version = std::numeric_limits<std::uint64_t>::max();
 
 bundle_follow &follow_of(turn &t)
@@ -43,7 +43,7 @@
     return out;
 }
 
-/// Tells some members which version is in force here; the frame names it.
+/// Sends the version in force to random members; every frame header contains it.
 void push_version(turn &t, std::size_t fanout)
 {
     for (const std::string &it : draw_members(t, fanout)) {
@@ -72,7 +72,7 @@
     note_event(t.n.events, t.now, event_kind::bundle_refused, "", "", why.message);
 }
 
-/// Puts a bundle in force or says why not.
+/// Verifies a bundle and puts it in force; logs the reason if it is refused.
 bool take_bundle(turn &t, const std::string &stored)
 {
     result<done> applied = apply_bundle(t.n.bundles, stored, t.n.settings.trusted_keys, t.now,
@@ -92,7 +92,7 @@
     return true;
 }
 
-/// Ends a fetch with what came for it, and goes on to the next link.
+/// Ends a fetch with its result, empty if it failed, and starts the next one.
 void end_fetch(turn &t, const std::string &stored)
 {
     if (!stored.empty() && take_bundle(t, stored)) {
@@ -103,7 +103,7 @@
     fetch_next(t);
 }
 
-/// Notes a bundle that a fresh node may begin with.
+/// Considers a bundle as the first one of a started node.
 void consider_first(turn &t, const std::string &stored)
 {
     result<verified_bundle> verified =
@@ -115,14 +115,14 @@
     offer_candidate(follow_of(t), first_candidate{value_of(verified).content.head.version, stored});
 }
 
-/// A fresh node asks the table, its seeds and some members for the highest
-/// version.
+/// Asks the table, the seeds and some members for the newest bundle, while no
+/// bundle is in force.
 void ask_for_first(turn &t)
 {
     bundle_follow &it = follow_of(t);
-    // A plain read may be answered from a stale copy, and this process knows no
-    // version below which it must not go. A conditional write that cannot
-    // succeed is answered with the row as it stands.
+    // A plain read may return a stale replica, and a started process doesn't know
+    // a minimum version. A conditional write that can't succeed returns the
+    // current row.
     if (t.n.bundles.guards.current_first) {
         ask(t, platform_purpose::bundle_head,
             table_commit{{row_write{bundle_head_key, impossible_version, ""}}});
@@ -305,7 +305,7 @@
     if (auto *content = frame.payload.Asbundle_content()) {
         on_content(t, frame.sender, frame.bundle_version, *content);
         if (content->version == 0 && frame.bundle_version < own) {
-            // The sender is behind: this frame's answer names the higher version.
+            // The sender has an older version: the header of the answer contains the newer.
             send_to_address(t, frame.sender, endpoint{}, frame_of(wire::bundle_content_message{}));
         }
     }
--- a/gullstall/src/node/claim_control.cpp
+++ b/gullstall/src/node/claim_control.cpp
@@ -4,14 +4,14 @@
 
 namespace {
 
-/// Longest wait for the zone's claim writer; then its answer counts as lost.
+/// After this time the answer of the zone's claim writer counts as lost.
 constexpr duration writer_timeout = milliseconds(300);
-/// Time that a node commits by itself after the writer gave no answer.
+/// After a lost answer the node commits its own claims for this long.
 constexpr duration writer_distrust = seconds(2);
 
-/// \returns the node that groups the claims of this node's zone: the same one
-/// at all nodes that know the same members. No one is elected: two writers only
-/// make more commits.
+/// \returns the node that groups the claims of this zone. All nodes with the same
+/// view of the members choose the same one. No election is needed, since a second
+/// writer only causes more commits.
 std::string claim_writer_of_zone(const node &n, time_point now)
 {
     const std::string &self = n.settings.node.instance;
@@ -101,7 +101,8 @@
     send_to(t, it.origin, frame_of(std::move(message)));
 }
 
-/// The writer gave no answer: the rows may be written, or may yet be.
+/// Fails a batch that the writer did not answer. Its rows may have been written, or
+/// may still be.
 void lose_forwarded(turn &t, std::uint64_t number)
 {
     t.n.claims_forwarded.erase(number);
@@ -124,7 +125,7 @@
 {
     auto found = t.n.claims_forwarded.find(message.number);
     if (found == t.n.claims_forwarded.end() || found->second.writer != from) {
-        return;  // given up before
+        return;  // already failed
     }
     t.n.claims_forwarded.erase(found);
     platform_answer answer{status_of(message.kind), {}, {}};
--- a/gullstall/src/node/control.cpp
+++ b/gullstall/src/node/control.cpp
@@ -4,12 +4,12 @@
 
 namespace {
 
-/// Longest time that a stop waits for outcomes to be written while the
-/// platform is out.
+/// Maximum time that a stop waits for outcomes to be written during an outage of
+/// the platform.
 constexpr duration outcome_settle_time = seconds(3);
 
-/// Time after the order to stop in which callers' calls are still taken. The process lives
-/// on for about as long, so that others hear that it leaves.
+/// Calls of callers are accepted for this long after a stop request. The process runs on
+/// for about as long, so that other nodes learn that it is leaving.
 constexpr duration entry_notice = milliseconds(1800);
 
 }  // namespace
@@ -61,7 +61,7 @@
     t.n.worker_leaves = false;
     t.n.contacts.worker_silent = false;
     log(t, write_log::severity::info, "worker",
-        "announced with " + std::to_string(e.slots) + " slots");
+        "registered with " + std::to_string(e.slots) + " slots");
     offer_own_worker(t);
 }
 
@@ -76,7 +76,7 @@
 void on_worker_leaving(turn &t)
 {
     t.n.worker_leaves = true;
-    log(t, write_log::severity::info, "worker", "leaves");
+    log(t, write_log::severity::info, "worker", "worker is leaving");
     set_own_state(t, wire::member_state::leaving);
 }
 
@@ -88,14 +88,14 @@
     t.n.stopping = true;
     t.n.settle_until = t.now + outcome_settle_time;
     t.n.stop_asked_at = t.now;
-    log(t, write_log::severity::info, "node", "stop began");
+    log(t, write_log::severity::info, "node", "stopping");
     note_event(t.n.events, t.now, event_kind::stop_began, "", t.n.settings.node.instance, "");
     set_own_state(t, wire::member_state::leaving);
 }
 
 bool takes_callers(const node &n, time_point now)
 {
-    // Replies to a process that has a successor would go to that one.
+    // If a successor is running, replies would be sent to it.
     return !n.stopping || (!n.gossip.superseded && now < n.stop_asked_at + entry_notice);
 }
 
@@ -113,7 +113,7 @@
         return;
     }
     if (!t.n.once.writer.writes.empty() && t.now < t.n.settle_until) {
-        return;  // outcomes that repeats at other nodes will ask for
+        return;  // repeats at other nodes need the unwritten outcomes
     }
     t.n.stopped = true;
     note_event(t.n.events, t.now, event_kind::stop_finished, "", t.n.settings.node.instance, "");
--- a/gullstall/src/node/entry.cpp
+++ b/gullstall/src/node/entry.cpp
@@ -6,13 +6,13 @@
 
 namespace {
 
-/// Fills what a call inherits from the run that makes it, or what the bundle
-/// says of a request that enters here.
+/// Sets the fields that a nested call inherits from its run, or that the bundle
+/// defines for a new request.
 void set_context(turn &t, pending_call &call, const caller_call &asked)
 {
     wire::call_message &request = call.request;
-    // A request keeps the version of its entry, also when a newer one has come
-    // into force here since.
+    // A nested call uses the bundle version of its request, even if a newer one
+    // is in force by now.
     std::uint64_t version =
         call.parent ? t.n.runs.at(*call.parent).call.bundle_version : version_in_force(t.n.bundles);
     const bundle &policy = content_of(t.n.bundles, version);
@@ -70,9 +70,9 @@
                                       {}}});
 }
 
-/// Lets a caller's repeat wait for the call in flight with the same request id,
-/// in place of running it a second time with an allowance of its own.
-/// \returns whether the repeat was taken care of
+/// Lets a repeat wait for the call in flight with the same request id instead of
+/// running it again with a retry allowance of its own.
+/// \returns whether the call was handled as a repeat
 bool join_call_in_flight(turn &t, const call_arrived &e)
 {
     auto entered = t.n.entered.find(e.request.request_id);
@@ -135,7 +135,7 @@
                t.n.bundles.in_force->content.limits.retry_budget_percent);
     t.n.call_deadlines.emplace(call.deadline, id);
     if (!call.parent && !call.request.non_idempotent) {
-        // Repeats of calls that must not run twice are joined by their key.
+        // Repeats of non-idempotent calls are matched by their key instead.
         t.n.entered.try_emplace(call.request.request_id, id);
     }
     if (!call.parent) {
@@ -153,7 +153,7 @@
 
 namespace {
 
-/// Breaks off the run of an attempt, here or at its upstream's node.
+/// Cancels the run of an attempt, on the local worker or at its upstream's node.
 void break_off_attempt(turn &t, const attempt &last)
 {
     if (last.instance == t.n.settings.node.instance) {
--- a/gullstall/src/node/explain.cpp
+++ b/gullstall/src/node/explain.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// \returns `key=value` with a space in front
+/// \returns " key=value"
 template <class Value>
 std::string pair_of(const char *key, const Value &value)
 {
--- a/gullstall/src/node/member_control.cpp
+++ b/gullstall/src/node/member_control.cpp
@@ -46,13 +46,14 @@
     }
 }
 
-/// Guard against an earlier process of the instance that was frozen while its
-/// successor started: two nodes would answer to one name. The earlier one stops.
+/// Stops this process if a later process of the same instance is running. It can
+/// have been suspended while its successor started, and two nodes would then use
+/// one name.
 void stop_if_superseded(turn &t)
 {
     if (t.n.gossip.superseded && !t.n.stopping) {
         log(t, write_log::severity::warning, "member",
-            "a later process of this instance is alive: stops");
+            "a later process of this instance is running; stopping");
         on_stop_requested(t);
     }
 }
@@ -79,7 +80,7 @@
     carry_out(t, std::move(out));
 }
 
-/// \returns whether a member that is not dead listens at \a at
+/// \returns whether a known member that is not dead listens at \a at
 bool is_known(const turn &t, const endpoint &at)
 {
     return std::any_of(t.n.members.members.begin(), t.n.members.members.end(), [&](const auto &it) {
@@ -105,9 +106,9 @@
     }
 }
 
-/// Contacts some of the members that the rows name and that this node lacks.
-/// The rows only say where to ask: what they say of a member's state may be old.
-/// \returns how many were contacted
+/// Contacts some of the members listed in the rows that this node doesn't know.
+/// Only their addresses are used, since the listed states may be outdated.
+/// \returns the number of members contacted
 std::size_t contact_rows(turn &t, const std::vector<table_row> &rows)
 {
     std::vector<endpoint> lacking;
@@ -164,7 +165,7 @@
     ask(t, platform_purpose::member_lease, table_commit{{row}});
 }
 
-/// Looks for others while this node knows nobody: the seeds, and the table.
+/// Searches the seeds and the table for members while no other member is known.
 void search(turn &t)
 {
     if (t.now < t.n.contacts.next_search || !is_alone(t)) {
@@ -175,7 +176,7 @@
     scan_rows(t);
 }
 
-/// Uses the table when it is this node's turn.
+/// Refreshes a contact row of the table in the terms assigned to this node.
 void take_turn(turn &t)
 {
     if (t.now < t.n.contacts.next_turn) {
@@ -207,8 +208,8 @@
         }
         return;
     }
-    // Alone: the rows of others come first, so that a fleet that starts at once
-    // does not write a row for each node. Rows that led nowhere are overwritten.
+    // No other member is known. Existing rows are tried first, so that nodes that
+    // start together don't write a row each. Rows that led to no member are overwritten.
     ++turns.searches;
     if (contacted == 0 || turns.searches > searches_before_overwrite) {
         std::size_t slot = draw_below(t.n.random, contact_rows_per_zone);
@@ -219,7 +220,7 @@
 void on_lease_answer(turn &t, const platform_answer &answer)
 {
     if (answer.status == platform_status::conflict && is_alone(t)) {
-        contact_rows(t, answer.rows);  // another node was first: it is the contact
+        contact_rows(t, answer.rows);  // another node wrote the row first: contact it
     }
 }
 
@@ -247,11 +248,11 @@
     if (before == time_point{} || t.now - before < lease || !t.n.gossip.limits.notice_pauses) {
         return;
     }
-    // Guard against a node that was frozen for longer than its lease and acts
-    // on what it knew before: it would send calls to members long gone. It
-    // compares its view with its neighbours' first and refuses calls meanwhile.
+    // A node suspended for longer than its lease would send calls to members that
+    // have left. It first synchronises its view with its neighbours and refuses
+    // calls until then.
     log(t, write_log::severity::warning, "member",
-        "was paused for " + std::to_string(to_ms(t.now - before)) + " ms");
+        "process was suspended for " + std::to_string(to_ms(t.now - before)) + " ms");
     gossip_result out;
     note_pause(t.n.gossip, t.n.members, t.n.random, t.now, out);
     carry_out(t, std::move(out));
@@ -312,8 +313,8 @@
     if (t.n.stopping || t.n.worker_leaves || t.n.slots == 0) {
         return;
     }
-    // Guard against a worker that died without a word: its node still lives, so
-    // gossip would go on announcing an upstream whose every call fails.
+    // If a worker crashes without a leave notice, its node is still alive and
+    // gossip would keep announcing an upstream on which every call fails.
     set_own_state(t, e.reachable ? member_state::alive : member_state::leaving);
 }
 
--- a/gullstall/src/node/node.hpp
+++ b/gullstall/src/node/node.hpp
@@ -25,36 +25,38 @@
 
 namespace gullstall {
 
-/// One send of a call to an upstream.
+/// One attempt to run a call on an upstream.
 struct attempt
 {
     std::uint64_t correlation = 0;
     std::string instance;
-    std::uint32_t share = 0;  ///< allowance given along
+    std::uint32_t share =
+        0;  ///< part of the call's retry allowance that was passed to the upstream
     time_point sent_at{};
 };
 
-/// A call that this node has taken and not yet answered.
+/// A call that this node has accepted and not yet answered.
 struct pending_call
 {
     call_ref id{};
-    std::optional<run_ref> parent;  ///< run on the own worker that makes the call
-    wire::call_message request;     ///< correlation, allowance and time are set at each send
+    std::optional<run_ref> parent;  ///< run on the local worker that issued the call
+    wire::call_message request;     ///< correlation, allowance and left_us are set for each attempt
     time_point taken_at{};
     time_point deadline{};
     allowance retries{};
     std::optional<attempt> current;
     std::vector<std::string> tried;
-    /// A call of a run waits until then for an upstream of its service.
+    /// Until then a call issued by a run waits for an upstream of its service.
     std::optional<time_point> waits_until;
-    bool may_have_run = false;      ///< an attempt ended without anyone knowing
-    std::vector<call_ref> waiters;  ///< callers that get the answer, repeats included
-    bool settled = false;           ///< its outcome is known from the key's memory
-    std::optional<std::pair<std::string, std::uint64_t>> origin;  ///< node and correlation, when
-                                                                  ///< it came for its issuer
+    bool may_have_run = false;      ///< an attempt ended with an unknown outcome
+    std::vector<call_ref> waiters;  ///< callers to answer, including those that repeated the call
+    bool settled = false;           ///< the stored record of its key gives the outcome
+    std::optional<std::pair<std::string, std::uint64_t>>
+        origin;  ///< sender and its correlation, if
+                 ///< forwarded to the key's issuer
 };
 
-/// A call that this node runs, or will run, on its own worker.
+/// A call that is queued for or running on the local worker.
 struct active_run
 {
     run_ref id{};
@@ -64,18 +66,18 @@
     time_point queued_at{};
     std::optional<time_point> started_at;
     allowance retries{};
-    std::set<call_ref> children;                     ///< calls that the run has made
-    std::map<std::string, admission_level> touched;  ///< services reached below it
+    std::set<call_ref> children;                     ///< unanswered calls issued by the run
+    std::map<std::string, admission_level> touched;  ///< services reached by the run's calls
 };
 
-/// Claims that this node has sent to the claim writer of its zone.
+/// Batch of claims that was sent to the claim writer of the zone.
 struct forwarded_claims
 {
     std::string writer;
     time_point sent_at{};
 };
 
-/// What a request to the platform was for.
+/// Purpose of a request to the platform.
 enum class platform_purpose
 {
     member_lease,
@@ -87,7 +89,7 @@
     claim_read
 };
 
-/// Counters that the admin port shows.
+/// Counters exported on the admin port.
 struct node_counters
 {
     std::uint64_t calls_taken = 0;
@@ -100,15 +102,15 @@
     std::map<std::string, std::uint64_t> refusals;  ///< by reason and class
 };
 
-/// Guards that a test may switch off, to show the failure that each prevents.
+/// Safeguards. A test can disable one to reproduce the failure that it prevents.
 struct node_guards
 {
-    bool divide_allowance = true;  ///< off: every call gets a copy of the allowance
-    bool join_repeats = true;      ///< off: a repeat in flight is a call of its own
-    bool calls_wait = true;        ///< off: calls of runs fail at once where no upstream is there
+    bool divide_allowance = true;  ///< if false, every call gets a copy of the allowance
+    bool join_repeats = true;      ///< if false, a repeat of a call in flight runs separately
+    bool calls_wait = true;        ///< if false, calls of runs fail at once when no upstream exists
 };
 
-/// State of one node. It holds no socket, thread or clock.
+/// State of one node. It owns no sockets, threads or clocks.
 /// \see make_node, step
 struct node
 {
@@ -133,18 +135,21 @@
     node_latencies latencies;
     once_book once;
     suspect_table suspects;
-    std::deque<run_ref> alone_waiting;  ///< runs that want the worker for themselves
-    std::optional<run_ref> alone;       ///< the run that has the worker for itself
-    claim_group claims;                 ///< of this zone's nodes, when this node writes for them
-    std::map<std::uint64_t, forwarded_claims> claims_forwarded;     ///< by batch
-    time_point claims_alone_until{};                                ///< the zone's writer is silent
-    std::unordered_map<platform_ref, std::uint64_t> claim_commits;  ///< group of each
+    std::deque<run_ref> alone_waiting;  ///< queued runs that need the worker exclusively
+    std::optional<run_ref> alone;       ///< run that currently has the worker exclusively
+    claim_group claims;  ///< claims of the zone's nodes, when this node is the writer
+    std::map<std::uint64_t, forwarded_claims> claims_forwarded;  ///< by batch
+    time_point claims_alone_until{};  ///< until then the node commits its own claims
+    std::unordered_map<platform_ref, std::uint64_t> claim_commits;  ///< group number of each commit
     std::unordered_map<platform_ref, table_read> claim_reads;
 
     std::unordered_map<call_ref, pending_call> calls;
-    std::vector<call_ref> waiting_calls;  ///< for an upstream; some may have ended meanwhile
-    std::unordered_map<std::string, call_ref> entered;     ///< by request id, no worker's calls
-    std::unordered_map<call_ref, call_ref> joined;         ///< a repeat, and the call it waits for
+    std::vector<call_ref>
+        waiting_calls;  ///< calls that wait for an upstream; may hold calls that ended
+    std::unordered_map<std::string, call_ref>
+        entered;  ///< by request id; without calls of the local worker
+    std::unordered_map<call_ref, call_ref>
+        joined;  ///< from a repeat to the call whose answer it gets
     std::unordered_map<std::uint64_t, call_ref> attempts;  ///< by correlation
     std::multimap<time_point, call_ref> call_deadlines;
     std::unordered_map<run_ref, active_run> runs;
@@ -152,27 +157,27 @@
     std::multimap<time_point, run_ref> run_deadlines;
     std::unordered_map<platform_ref, platform_purpose> platform_waiting;
 
-    std::uint32_t slots = 0;  ///< of the own worker, 0: it has not announced itself
+    std::uint32_t slots = 0;  ///< slots of the local worker; 0 until it has registered
     std::uint32_t slots_used = 0;
     bool worker_leaves = false;
     bool stopping = false;
     bool stopped = false;
-    time_point settle_until{};   ///< a stop waits no longer for outcomes to be written
+    time_point settle_until{};   ///< how long a stop waits for unwritten outcomes
     time_point stop_asked_at{};  ///< valid when stopping
     std::uint64_t last_id = 0;
 };
 
 /// Makes a node.
 /// \param incarnation higher than that of any earlier process of the instance,
-/// usually the time of its start in microseconds
-/// \param seed of the node's random choices
-/// \returns the node, or out_of_range for settings that no node can have
+/// usually the process start time in microseconds
+/// \param seed of the node's random number generator
+/// \returns the node, or out_of_range when the settings lack an instance name or worker slots
 result<node> make_node(const node_settings &settings, std::uint64_t incarnation,
                        std::uint64_t seed);
 
-/// Lets a node take in one event.
-/// \param now must not go back between steps
-/// \returns what the node asks of its surroundings, in order
+/// Processes one event.
+/// \param now must not decrease between calls
+/// \returns the actions to carry out, in order
 actions step(node &it, time_point now, event what);
 
 }  // namespace gullstall
--- a/gullstall/src/node/once_control.cpp
+++ b/gullstall/src/node/once_control.cpp
@@ -4,8 +4,8 @@
 
 namespace {
 
-/// Set in the numbers of calls that came from another node for their issuer,
-/// so that they never meet a number that the callers' port gave.
+/// Set in the ids of calls that another node forwarded to the issuer of their
+/// key, so that they never equal an id assigned by the callers' port.
 constexpr std::uint64_t issuer_call_bit = 1ULL << 63U;
 constexpr std::uint16_t http_ok = 200;
 
@@ -29,7 +29,7 @@
             out.refusal = row.refusal;
             return out;
         case wire::claim_state::claimed:
-            break;  // its holder has not told its end in time
+            break;  // the holder of the claim did not record the outcome in time
     }
     out.outcome = wire::outcome::unknown;
     out.refusal = wire::refusal::key_elsewhere;
@@ -41,7 +41,7 @@
     for (once_order &order : orders) {
         auto found = t.n.calls.find(order.call);
         if (found == t.n.calls.end()) {
-            continue;  // it has its answer
+            continue;  // already answered
         }
         if (order.what == once_order::kind::run) {
             start_call(t, order.call);
@@ -60,8 +60,8 @@
     }
 }
 
-/// \returns the node that issued the key, when it is another one that still
-/// lives in the incarnation of the key
+/// \returns the node that issued the key, if it is another node that still runs
+/// in the incarnation named by the key
 std::optional<std::string> issuer_elsewhere(const node &n, const std::string &key)
 {
     std::optional<issued_key> parts = parse_issued_key(key);
@@ -79,8 +79,8 @@
 
 bool runs_on_without_caller(const pending_call &call)
 {
-    // A non-idempotent call that is broken off ends as `unknown`; run to its
-    // end, it gives the caller's repeat a whole answer.
+    // A cancelled non-idempotent call has an unknown outcome. If it runs to its
+    // end, a repeat of the caller gets its answer.
     return call.request.non_idempotent && !call.request.key.empty();
 }
 
@@ -172,7 +172,7 @@
     call.request.to_issuer = false;
     call.request.non_idempotent = true;
     if (!t.n.bundles.in_force) {
-        // The key is of an earlier process, which may have run it.
+        // An earlier process issued the key and may have run the call.
         wire::reply_message reply = refusal_reply(wire::refusal::starting, call.request.service);
         reply.outcome = wire::outcome::unknown;
         reply.correlation = call.origin->second;
--- a/gullstall/src/node/send.cpp
+++ b/gullstall/src/node/send.cpp
@@ -38,7 +38,7 @@
 void send_to(turn &t, const std::string &instance, wire::frame_message frame)
 {
     auto known = t.n.members.members.find(instance);
-    // A node that gossip has not brought yet is answered over its own connection.
+    // A node that gossip has not announced yet is answered over the connection it opened.
     endpoint to = known == t.n.members.members.end()
                       ? endpoint{}
                       : endpoint{known->second.address, known->second.port};
--- a/gullstall/src/node/serve.cpp
+++ b/gullstall/src/node/serve.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-/// Sends the reply to the node that the call came from. It carries this
-/// service's level and those of the services that the call touched.
+/// Sends the reply to the node that sent the call, with the admission levels of
+/// this service and of the services that the call reached.
 void reply_to(turn &t, const std::string &origin, wire::reply_message reply,
               const std::map<std::string, admission_level> &touched)
 {
@@ -32,7 +32,7 @@
 {
     wire::reply_message reply;
     reply.correlation = call.correlation;
-    // A request that is refused for its crashes has run before.
+    // A suspect may have run on the workers that crashed.
     reply.outcome = why == wire::refusal::suspect ? wire::outcome::unknown : wire::outcome::not_run;
     reply.refusal = why;
     reply.refused_by = t.n.settings.node.service;
@@ -40,7 +40,7 @@
     reply_to(t, origin, std::move(reply), {});
 }
 
-/// Takes the run out of all tables.
+/// Removes the run from all tables.
 active_run forget_run(turn &t, run_ref id)
 {
     auto found = t.n.runs.find(id);
@@ -82,15 +82,15 @@
     refuse(t, run.origin, run.call, why);
 }
 
-/// \returns whether a run can start beside those that run
+/// \returns whether a slot is free and no run has or awaits the worker exclusively
 bool takes_runs(const node &n)
 {
     return n.slots_used < n.slots && !n.alone && n.alone_waiting.empty();
 }
 
-/// \returns whether the worker runs nothing but what belongs to the request of
-/// \a suspect_id: a call that comes back to the worker of its own chain must not
-/// wait for the run that waits for it
+/// \returns whether all started runs belong to the request \a suspect_id. A
+/// nested call that returns to a worker of its own request must not wait for
+/// the run that waits for it, which would be a deadlock.
 bool only_runs_of(const node &n, const std::string &suspect_id)
 {
     return std::all_of(n.runs.begin(), n.runs.end(), [&](const auto &entry) {
@@ -98,8 +98,8 @@
     });
 }
 
-/// Starts suspects, each with the worker for itself: if one crashes the worker,
-/// no innocent request is in flight beside it and shares the suspicion.
+/// Starts runs of suspect requests, one request at a time: if it crashes the
+/// worker, no other request is in flight and becomes a suspect too.
 void start_suspects(turn &t)
 {
     std::deque<run_ref> waiting = t.n.alone_waiting;
@@ -113,8 +113,8 @@
     }
 }
 
-/// Longest wait of a call that is not protected. While protected calls take all
-/// slots such a call would hold slots above it until its deadline, for nothing.
+/// Maximum queue wait of a call that is not protected. While protected calls use
+/// all slots it would otherwise hold slots of the services above until its deadline.
 constexpr duration longest_wait = milliseconds(200);
 
 void start_queued(turn &t)
@@ -129,7 +129,7 @@
     }
 }
 
-/// Breaks off what the run has asked of other services.
+/// Cancels the calls that the run has issued.
 void cancel_children(turn &t, const active_run &run)
 {
     std::set<call_ref> children = run.children;
@@ -138,7 +138,7 @@
     }
 }
 
-/// Breaks a run off and forgets it.
+/// Cancels a run and removes it.
 active_run break_off(turn &t, run_ref id)
 {
     cancel_children(t, t.n.runs.at(id));
@@ -154,7 +154,7 @@
     return run;
 }
 
-/// \param open_calls calls of the run that had no answer yet
+/// \param open_calls number of unanswered calls issued by the run
 void log_expired(turn &t, const active_run &run, std::size_t open_calls)
 {
     log(t, write_log::severity::warning, "serve",
@@ -275,9 +275,9 @@
     start_queued(t);
 }
 
-/// Breaks off what \a origin sent: nobody there waits for the replies any more,
-/// and slots that work for nobody are missing for requests that can be answered.
-/// A non-idempotent run that has started goes on, so that it ends whole.
+/// Cancels the runs requested by \a origin. It no longer waits for the replies,
+/// and their slots are needed for requests that can be answered. Non-idempotent
+/// runs that have started continue, so that their outcome is known.
 void on_origin_lost(turn &t, const std::string &origin)
 {
     std::vector<run_ref> lost;
@@ -297,7 +297,7 @@
 void on_worker_answered(turn &t, worker_answered &e)
 {
     if (t.n.runs.count(e.run) == 0) {
-        return;  // broken off before
+        return;  // already cancelled
     }
     cancel_children(t, t.n.runs.at(e.run));
     active_run run = forget_run(t, e.run);
--- a/gullstall/src/node/step.cpp
+++ b/gullstall/src/node/step.cpp
@@ -105,8 +105,8 @@
     node out;
     out.settings = settings;
     out.incarnation = incarnation;
-    // Correlations of an earlier process must not be taken for this one's: a run that it
-    // asked for may still be answered.
+    // Ids must differ from those of earlier processes: a run requested by an earlier process
+    // may still be answered, and its reply would be matched to another call.
     out.last_id = incarnation;
     out.random.seed(seed);
     out.queue.limit = settings.worker.slots;
@@ -120,12 +120,12 @@
     self.port = settings.listen.peers_port;
     self.admin_port = settings.listen.admin_port;
     self.incarnation = incarnation;
-    self.state = wire::member_state::leaving;  // until the worker has announced itself
+    self.state = wire::member_state::leaving;  // until the worker has registered
     out.members.members[self.instance] = self;
     out.once.instance = self.instance;
     out.once.incarnation = incarnation;
-    // Batches of an earlier process have lower numbers: a late answer to one of
-    // them would otherwise be taken for the answer to a new claim.
+    // Batch numbers of an earlier process are lower: a late answer to one of them
+    // would otherwise be taken for the answer to a new claim.
     out.once.writer.last_batch = incarnation;
     gossip_limits limits;
     limits.probe_interval = milliseconds(settings.membership.gossip_interval_ms);
--- a/gullstall/src/node/suspect_control.cpp
+++ b/gullstall/src/node/suspect_control.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-/// \returns whether a member of the zone of \a instance is alive, so that the
-/// silence of \a instance is its own and no cut
+/// \returns whether another member of the zone of \a instance is alive, so that
+/// \a instance has failed rather than been cut off with its zone
 bool zone_lives(const node &n, const std::string &instance)
 {
     auto gone = n.members.members.find(instance);
@@ -48,7 +48,7 @@
     if (!asked.key.empty()) {
         return asked.key;
     }
-    // A caller that names neither request nor key repeats the same content.
+    // Without a request id or key, repeats are recognised by their content.
     std::string_view body(reinterpret_cast<const char *>(asked.body.data()), asked.body.size());
     return "content-" + std::to_string(hash_text(asked.service + "/" + asked.operation)) + "-" +
            std::to_string(hash_text(body));
--- a/test/support/echo_world.hpp
+++ b/test/support/echo_world.hpp
@@ -5,14 +5,14 @@
 
 namespace gullstall::test {
 
-/// A world whose workers send each body back after 10 ms; answers are collected.
+/// A simulated cluster whose workers echo each body after 10 ms; collects the answers.
 struct echo_world
 {
     test_publisher publisher;
     world w;
     std::vector<caller_answer> answers;
 
-    /// \param bundle text that is in force at all nodes
+    /// \param bundle text of the bundle in force at all nodes
     echo_world(std::uint64_t seed, const std::string &bundle) : w(seed)
     {
         publisher.publish(w.platform, bundle);
--- a/test/support/world.hpp
+++ b/test/support/world.hpp
@@ -13,15 +13,15 @@
 
 namespace gullstall::test {
 
-/// A virtual-time queue that hands frames, platform answers and timers between
-/// nodes, with delay, loss, cuts and pauses. It has no topology and no model of
-/// machines; what a worker does is the test's own function.
+/// Simulates a cluster of nodes in virtual time: delivers frames, platform
+/// answers and timers, with delay, loss, network partitions and paused nodes. It
+/// models neither topology nor machines; workers are a function of the test.
 class world
 {
 public:
-    /// Called when a node runs a call on its worker; it answers by answer_run().
+    /// Called when a node runs a call on its worker; completes it by answer_run().
     using worker_function = std::function<void(const std::string &instance, run_on_worker &&run)>;
-    /// Called with every final answer.
+    /// Called for every final answer.
     using answer_function =
         std::function<void(const std::string &instance, call_ref call, caller_answer &&answer)>;
 
@@ -37,14 +37,15 @@
 
     duration link_delay = microseconds(500);
     duration platform_delay = milliseconds(2);
-    double loss = 0;                                     ///< share of frames that vanish
-    std::set<std::pair<std::string, std::string>> cuts;  ///< zones that cannot hear each other
-    std::set<std::string> platform_cuts;                 ///< zones cut off from the platform
-    std::set<std::string> dead_workers;                  ///< instances whose worker is gone
-    std::map<std::string, std::uint64_t> bytes_sent;     ///< by instance, when count_bytes
+    double loss = 0;                                     ///< fraction of frames that are lost
+    std::set<std::pair<std::string, std::string>> cuts;  ///< pairs of zones without a connection
+    std::set<std::string> platform_cuts;  ///< zones without a connection to the platform
+    std::set<std::string> dead_workers;   ///< instances whose worker accepts no connections
+    std::map<std::string, std::uint64_t> bytes_sent;  ///< by instance, if count_bytes is set
     bool count_bytes = false;
-    duration tick_every = tick_interval;  ///< wider for long runs over slow decisions
-    /// When set, answers in place of the platform; it may call platform.ask().
+    duration tick_every =
+        tick_interval;  ///< can be longer in long simulations without short deadlines
+    /// If set, answers instead of the platform; may call platform.ask().
     std::function<platform_answer(const platform_request &what)> on_ask;
 
     /// Calls \a what at \a when.
@@ -57,7 +58,7 @@
         at(now + d, std::move(what));
     }
 
-    /// Runs everything that is due until \a end.
+    /// Runs everything due up to \a end.
     void run_until(time_point end)
     {
         while (!queue_.empty() && queue_.top().when <= end) {
@@ -73,8 +74,8 @@
         run_until(now + d);
     }
 
-    /// Adds a node and starts its ticks; its worker announces itself at once
-    /// unless \a announce is false.
+    /// Adds a node and starts its ticks. Its worker registers at once unless
+    /// \a announce is false.
     node &add_node(const node_settings &settings, bool announce = true)
     {
         const std::string &name = settings.node.instance;
@@ -89,7 +90,7 @@
         return nodes.at(name);
     }
 
-    /// Kills a node: it says nothing more, its peers see their connections break.
+    /// Kills a node. It sends nothing more and the connections of its peers break.
     void kill(const std::string &name)
     {
         nodes.erase(name);
@@ -101,12 +102,12 @@
         }
     }
 
-    /// Freezes a node: what comes for it waits until resume().
+    /// Pauses a node. Its events are queued until resume().
     void pause(const std::string &name)
     {
         paused_[name];
     }
-    /// Lets a node go on; what came for it while its connections broke is lost.
+    /// Resumes a node without the queued events, as if its connections had broken.
     void resume_without_events(const std::string &name)
     {
         paused_.erase(name);
@@ -120,7 +121,7 @@
         }
     }
 
-    /// Hands an event to a node, now, and carries out its actions.
+    /// Passes an event to a node immediately and carries out the resulting actions.
     void feed(const std::string &name, event what)
     {
         auto it = nodes.find(name);
@@ -139,7 +140,7 @@
         }
     }
 
-    /// A caller asks \a entry for a call.
+    /// Sends a call of a caller to the node \a entry.
     call_ref call(const std::string &entry, caller_call request)
     {
         call_ref id{++last_call_};
@@ -147,7 +148,7 @@
         return id;
     }
 
-    /// The worker of \a instance ends a run.
+    /// Ends a run on the worker of \a instance.
     void answer_run(const std::string &instance, run_ref run, worker_end end,
                     std::uint16_t status = 200, body_bytes body = {})
     {
@@ -262,7 +263,7 @@
     std::uint64_t last_call_ = 0;
 };
 
-/// \returns settings of a node for tests; \a number gives it ports of its own
+/// \returns settings of a test node; \a number must differ between nodes and selects the port
 inline node_settings make_settings(const std::string &instance, const std::string &zone,
                                    const std::string &service, std::uint16_t number,
                                    std::uint32_t slots, std::vector<trusted_key> keys)
@@ -280,7 +281,7 @@
     return out;
 }
 
-/// A signer for tests, and bundles published straight into the platform.
+/// Signs bundles and publishes them directly to the platform store.
 struct test_publisher
 {
     key_pair keys = value_of(make_key_pair());
@@ -296,8 +297,8 @@
         return value_of(add_signature("test", text, "board", keys.private_key));
     }
 
-    /// Signs \a text and makes it the published bundle; `previous = none` is
-    /// replaced by the digest of the version that is published.
+    /// Signs and publishes \a text. Replaces `previous = none` by the digest of the
+    /// version published before.
     void publish(standin::platform_store &platform, std::string text) const
     {
         const std::string none = "previous = none";
@@ -310,7 +311,7 @@
         put(platform, sign(text), "test");
     }
 
-    /// Puts a signed bundle straight into the platform as the published one.
+    /// Stores a signed bundle in the platform as the published version.
     static void put(standin::platform_store &platform, const std::string &stored,
                     const std::string &token)
     {
--- a/test/unit/node_cancel.cpp
+++ b/test/unit/node_cancel.cpp
@@ -20,7 +20,7 @@
 non_idempotent = true
 )";
 
-/// A chain entry -> dispatcher -> boxwatch whose last worker never answers.
+/// Nested calls from faultbook over dispatcher to boxwatch, whose worker never answers.
 struct node_cancel_fixture
 {
     test::test_publisher publisher;
@@ -78,8 +78,8 @@
 
 }  // namespace
 
-// Story: an operator closes the page while a slow status answer is on its way.
-// Every hop below goes on working for nobody until its deadline.
+// Guards against runs that continue until their deadlines although the caller
+// disconnected while waiting for a slow answer.
 TEST_CASE_FIXTURE(node_cancel_fixture, "caller leaves, two hops below, both runs cancelled at once")
 {
     call_ref id = ask("lookup");
@@ -91,8 +91,8 @@
     CHECK(answers.empty());
 }
 
-// Story: the entry node is killed while its calls run elsewhere. The upstreams
-// keep slots busy for a caller who can get no answer any more.
+// Guards against upstreams that keep slots occupied for calls whose entry node
+// was killed, so that no caller can be answered.
 TEST_CASE_FIXTURE(node_cancel_fixture, "entry node killed, runs below, cancelled at once")
 {
     ask("lookup");
--- a/test/unit/node_restart.cpp
+++ b/test/unit/node_restart.cpp
@@ -26,7 +26,7 @@
 const body_bytes old_body{1};
 const body_bytes new_body{2};
 
-/// Two nodes of two services, with workers that hold their runs.
+/// Two nodes of two services, with workers that leave their runs unanswered.
 struct node_restart_fixture
 {
     test::test_publisher publisher;
@@ -55,7 +55,7 @@
             test::make_settings(name, "midrand", service, number, slots, publisher.trusted()));
     }
 
-    /// \returns the frames that the node sends to \a peer when it takes in \a what
+    /// \returns the frames that the node sends to \a peer when it processes \a what
     std::vector<wire::frame_message> sent_to(const std::string &peer, const std::string &node,
                                              event what)
     {
@@ -90,8 +90,8 @@
 
 }  // namespace
 
-// Guards against an answer that is handed to another request: a node is killed, and a run that
-// it had asked for ends after its next process has sent calls of its own.
+// Guards against a reply that is matched to another request: a node is killed, and a run that it
+// requested ends after the restarted process has sent calls of its own.
 TEST_CASE_FIXTURE(node_restart_fixture, "restarted node, late reply to its former process, dropped")
 {
     w.call("dispatcher-1", caller_call{"boxwatch", "order", "r0", "k0", "", {}, old_body});
@@ -116,8 +116,8 @@
     CHECK(answers.empty());
 }
 
-// Guards against a call that waits for its deadline because the node that ran it has not heard of
-// the sender yet, as after a restart beside others.
+// Guards against a call that waits until its deadline because the node that ran it does not know
+// the sender as a member yet, for example after a restart.
 TEST_CASE_FIXTURE(node_restart_fixture, "call, sender not known as a member, answered to it")
 {
     CHECK(sent_to("stranger-1", "boxwatch-1", frame_arrived{call_from("stranger-1")}).empty());
@@ -132,8 +132,8 @@
     CHECK(reply->body == new_body);
 }
 
-// Guards against a call that waits for its deadline because the node that refused it has not
-// heard of the sender yet: it could have been sent to another upstream at once.
+// Guards against a call that waits until its deadline because the node that refused it does not
+// know the sender as a member yet; it could have been sent to another upstream at once.
 TEST_CASE_FIXTURE(node_restart_fixture, "refused call, sender not known as a member, told so")
 {
     w.feed("boxwatch-1", worker_leaving{});
@@ -146,8 +146,8 @@
     CHECK(reply->refusal == wire::refusal::leaving);
 }
 
-// Guards against a call that waits for its deadline at the issuer of its key: the issuer has
-// started again and has no bundle yet.
+// Guards against a call that waits until its deadline at the issuer of its key, which was
+// restarted and has no bundle yet.
 TEST_CASE_FIXTURE(node_restart_fixture, "call for the issuer of its key, no bundle there, told so")
 {
     w.platform_cuts = {"midrand"};
--- a/test/unit/node_stop.cpp
+++ b/test/unit/node_stop.cpp
@@ -24,7 +24,7 @@
         w.run_for(seconds(3));
     }
 
-    /// Asks for a call at the dispatcher whose run calls the other service and does not end.
+    /// Starts a run at the dispatcher that calls the other service and does not end.
     void ask_dispatch()
     {
         w.on_run = [this](const std::string &instance, run_on_worker &&run) {
@@ -47,8 +47,8 @@
 
 }  // namespace
 
-// Guards against callers who are turned away by each node that they try while several stop: a
-// node that lives on to tell others that it leaves can have them served elsewhere.
+// Guards against callers who are refused by every node that they try while several stop. A node
+// that still runs to announce its shutdown can forward their calls to other nodes.
 TEST_CASE_FIXTURE(node_stop_fixture, "node told to stop, call of a caller, served by another")
 {
     w.feed("dispatcher-1", stop_requested{});
@@ -56,7 +56,7 @@
     CHECK(ask("dispatcher-1").outcome == wire::outcome::ran);
 }
 
-// Guards against a call that is taken when the process is about to end.
+// Guards against a call that is accepted shortly before the process exits.
 TEST_CASE_FIXTURE(node_stop_fixture, "node told to stop two seconds ago, refuses callers")
 {
     w.feed("dispatcher-1", stop_requested{});
@@ -65,15 +65,15 @@
     CHECK(answers.back().refusal == wire::refusal::leaving);
 }
 
-// Guards against calls that go to a node's own worker after the order to stop.
+// Guards against calls that reach a node's own worker after a stop request.
 TEST_CASE_FIXTURE(node_stop_fixture, "node told to stop, call to its own service, not run there")
 {
     w.feed("boxwatch-1", stop_requested{});
     CHECK(ask("boxwatch-1").outcome == wire::outcome::not_run);
 }
 
-// Guards against a run that is lost, and its error kept as the outcome of its key, because a call
-// of it finds no upstream for the moment of a replacement.
+// Guards against a run that fails, with the error stored as the outcome of its key, because one of
+// its calls finds no upstream while an instance is being replaced.
 TEST_CASE_FIXTURE(node_stop_fixture, "call of a run, no upstream for a moment, waits for one")
 {
     w.feed("boxwatch-1", worker_leaving{});
@@ -87,7 +87,7 @@
     CHECK(answers[0].outcome == wire::outcome::ran);
 }
 
-// Guards against runs that hold their slots until their deadlines for a service that is gone.
+// Guards against runs that hold their slots until their deadlines while a service is unavailable.
 TEST_CASE_FIXTURE(node_stop_fixture,
                   "call of a run, no upstream comes back, refused before its time")
 {
@@ -100,7 +100,7 @@
     CHECK(answers[0].refusal == wire::refusal::no_upstream);
 }
 
-// Guards against a caller who is held back: the call has not run, and can be repeated.
+// Guards against a caller who waits for an upstream: the call has not run, so it can be repeated.
 TEST_CASE_FIXTURE(node_stop_fixture, "call of a caller, no upstream, refused at once")
 {
     w.feed("boxwatch-1", worker_leaving{});
@@ -110,7 +110,7 @@
     CHECK(answers[0].refusal == wire::refusal::no_upstream);
 }
 
-// Shows that the call of a run above fails without the wait.
+// Reproduces the failure above with the wait disabled.
 TEST_CASE_FIXTURE(node_stop_fixture, "call of a run, no upstream for a moment, lost without a wait")
 {
     w.nodes.at("dispatcher-1").guards.calls_wait = false;
