--- a/gullstall/src/node/admin.cpp
+++ b/gullstall/src/node/admin.cpp
@@ -49,25 +49,25 @@
     return boost::json::serialize(out) + "\n";
 }
 
-std::string metric(const char *name, std::uint64_t n)
+std::string format_metric(const char *name, std::uint64_t n)
 {
     return std::string("gullstall_") + name + " " + std::to_string(n) + "\n";
 }
 
 std::string print_metrics(const node &n)
 {
-    std::string out = metric("calls_taken_total", n.counters.calls_taken) +
-                      metric("calls_answered_total", n.counters.calls_answered) +
-                      metric("calls_resent_total", n.counters.calls_resent) +
-                      metric("repeats_joined_total", n.counters.repeats_joined) +
-                      metric("contexts_unknown_total", n.counters.contexts_unknown) +
-                      metric("runs_started_total", n.counters.runs_started) +
-                      metric("runs_lost_total", n.counters.runs_lost) +
-                      metric("calls_in_flight", n.calls.size()) +
-                      metric("slots_used", n.slots_used) +
-                      metric("queue_length", n.queue.waiting.size()) +
-                      metric("admission_level", n.level.level.highest) +
-                      metric("bundle_version", version_in_force(n.bundles));
+    std::string out = format_metric("calls_taken_total", n.counters.calls_taken) +
+                      format_metric("calls_answered_total", n.counters.calls_answered) +
+                      format_metric("calls_resent_total", n.counters.calls_resent) +
+                      format_metric("repeats_joined_total", n.counters.repeats_joined) +
+                      format_metric("contexts_unknown_total", n.counters.contexts_unknown) +
+                      format_metric("runs_started_total", n.counters.runs_started) +
+                      format_metric("runs_lost_total", n.counters.runs_lost) +
+                      format_metric("calls_in_flight", n.calls.size()) +
+                      format_metric("slots_used", n.slots_used) +
+                      format_metric("queue_length", n.queue.waiting.size()) +
+                      format_metric("admission_level", n.level.level.highest) +
+                      format_metric("bundle_version", version_in_force(n.bundles));
     for (const auto &[name, count] : n.counters.refusals) {
         std::size_t slash = name.find('/');
         out += "gullstall_refusals_total{reason=\"" + name.substr(0, slash) + "\",class=\"" +
@@ -81,7 +81,7 @@
 
 }  // namespace
 
-void on_admin_asked(turn &t, const admin_asked &e)
+void on_admin_asked(step_context &t, const admin_asked &e)
 {
     answer_admin answer{e.question, http_ok, json_type, ""};
     if (e.target == "/metrics") {
--- a/gullstall/src/node/admission.cpp
+++ b/gullstall/src/node/admission.cpp
@@ -8,18 +8,18 @@
 
 /// Maximum queue length per slot for requests that have used slots at services
 /// above. Behind a longer queue the remaining time is better spent on another request.
-constexpr std::size_t worked_per_slot = 4;
+constexpr std::size_t max_waiting_per_slot = 4;
 
 /// Queue of protected calls, in multiples of the target wait, from which the
 /// admission level may fall into their classes. A shorter one is exceeded by
 /// chance at 80 % load, so that calls were refused although there was capacity.
-constexpr double protected_targets = 2;
+constexpr double protected_queue_targets = 2;
 
 /// From this status on an answer may have stopped before it reached all services.
 constexpr std::uint16_t first_error_status = 400;
 
 /// \returns whether slots at services above have already been used for the call
-bool is_worked(const node &n, const wire::call_message &call)
+bool has_used_slots(const node &n, const wire::call_message &call)
 {
     return n.rules.keep_worked && call.depth > 0;
 }
@@ -27,11 +27,11 @@
 /// Tolerance, in ranks, for levels that differ between instances of a service.
 /// The entry node checks a request against their average, but the request may
 /// reach the instance with the lowest level.
-constexpr int instance_spread = 64;
+constexpr int instance_rank_spread = 64;
 
-admission_level widened(admission_level it)
+admission_level widen_level(admission_level it)
 {
-    int level = it.highest + instance_spread;
+    int level = it.highest + instance_rank_spread;
     return std::min(admit_all, admission_level{static_cast<std::uint16_t>(level)});
 }
 
@@ -42,9 +42,10 @@
     return make_priority(it.class_priority, it.rank);
 }
 
-waiting_run waiting_of(const node &n, const active_run &run)
+waiting_run make_waiting_run(const node &n, const active_run &run)
 {
-    return waiting_run{run.id, priority_of(run.call), run.call.protect, is_worked(n, run.call)};
+    return waiting_run{run.id, priority_of(run.call), run.call.protect,
+                       has_used_slots(n, run.call)};
 }
 
 duration expected_wait(const node &n)
@@ -56,29 +57,29 @@
     return duration(static_cast<std::int64_t>(held_us));
 }
 
-void on_level_tick(turn &t)
+void on_level_tick(step_context &t)
 {
     if (t.now < t.n.level.window_end) {
         return;
     }
     queue_state queue{t.n.queue.waiting.size(), protected_waiting(t.n.queue),
-                      t.n.rules.protected_target ? protected_targets : 1.0, t.n.slots,
+                      t.n.rules.protected_target ? protected_queue_targets : 1.0, t.n.slots,
                       t.n.rules.drain_by_slots};
     update_level(t.n.level, t.n.rules.level, queue, t.now);
     if (t.n.rules.keep_worked) {
-        refuse_overdue(t);
-        t.n.queue.limit = t.n.slots * worked_per_slot;
+        refuse_long_waiting(t);
+        t.n.queue.limit = t.n.slots * max_waiting_per_slot;
         t.n.queue.bound = queue_bound(t.n.level, t.n.slots);
     }
 }
 
-std::optional<std::string> refused_at_entry(turn &t, const wire::call_message &call)
+std::optional<std::string> find_refusing_service(step_context &t, const wire::call_message &call)
 {
     entry_request request{call.call_type, priority_of(call), call.protect};
     return refusing_service(t.n.touches, request, t.now);
 }
 
-void learn_from(turn &t, const pending_call &call, const wire::reply_message &reply)
+void record_reply(step_context &t, const pending_call &call, const wire::reply_message &reply)
 {
     note_queue_wait(t.n.routes, call.current->instance, microseconds(reply.wait_us));
     touch_table &known = t.n.touches;
@@ -104,7 +105,7 @@
     }
 }
 
-std::optional<wire::refusal> reason_to_refuse(turn &t, const wire::call_message &call)
+std::optional<wire::refusal> find_refusal_reason(step_context &t, const wire::call_message &call)
 {
     if (t.n.stopping || t.n.worker_leaves) {
         return wire::refusal::leaving;
@@ -123,8 +124,8 @@
     // The entry node admitted this request by an earlier level of this service.
     // Refusing it now would waste the slots used since then; the queue limit
     // bounds the excess. Other requests are checked against the current level.
-    admitted =
-        admitted || (is_worked(t.n, call) && admits(widened(recent_level(t.n.level)), of_call));
+    admitted = admitted ||
+               (has_used_slots(t.n, call) && admits(widen_level(recent_level(t.n.level)), of_call));
     note_arrival(t.n.level, of_call, call.protect, admitted);
     if (!admitted) {
         return wire::refusal::overload;
--- a/gullstall/src/node/answer.cpp
+++ b/gullstall/src/node/answer.cpp
@@ -2,7 +2,7 @@
 
 namespace gullstall::internal {
 
-wire::reply_message refusal_reply(wire::refusal why, const std::string &by)
+wire::reply_message make_refusal_reply(wire::refusal why, const std::string &by)
 {
     wire::reply_message out;
     out.outcome = wire::outcome::not_run;
@@ -11,7 +11,7 @@
     return out;
 }
 
-void forget_call(turn &t, pending_call &call)
+void erase_call(step_context &t, pending_call &call)
 {
     if (call.current) {
         t.n.attempts.erase(call.current->correlation);
@@ -43,15 +43,15 @@
 
 namespace {
 
-void count_refusal(turn &t, const wire::call_message &request, wire::refusal why)
+void count_refusal(step_context &t, const wire::call_message &request, wire::refusal why)
 {
     std::string name = wire::EnumNamerefusal(why);
     ++t.n.counters.refusals[name + "/" + std::to_string(request.class_priority)];
 }
 
 /// Logs a call that is answered with an unknown outcome.
-void log_failed(turn &t, const pending_call &call, const std::string &refused_by,
-                const std::string &description)
+void log_unknown_outcome(step_context &t, const pending_call &call, const std::string &refused_by,
+                         const std::string &description)
 {
     log(t, write_log::severity::warning, "call",
         "call-failed request=" + call.request.request_id + " " + description + " refused_by=" +
@@ -61,13 +61,13 @@
 
 /// Sends the final answer to all callers, or to the node that forwarded the call
 /// to the issuer of its key.
-void give_answer(turn &t, pending_call &call, wire::reply_message &reply)
+void deliver_answer(step_context &t, pending_call &call, wire::reply_message &reply)
 {
     if (call.origin) {
         wire::reply_message out = std::move(reply);
         out.correlation = call.origin->second;
         out.unspent = call.retries.left;
-        send_to(t, call.origin->first, frame_of(std::move(out)));
+        send_to(t, call.origin->first, make_frame(std::move(out)));
         return;
     }
     caller_answer answer{reply.outcome,
@@ -88,7 +88,7 @@
 }  // namespace
 
 /// Answers the callers and removes the call. Every answered call ends here.
-void finish_call(turn &t, call_ref id, wire::reply_message &reply)
+void finish_call(step_context &t, call_ref id, wire::reply_message &reply)
 {
     pending_call &call = t.n.calls.at(id);
     bool ran = reply.outcome == wire::outcome::ran;
@@ -101,7 +101,7 @@
         count_refusal(t, call.request, reply.refusal);
         std::string description = describe_refusal(t.n, call, reply);
         if (reply.outcome == wire::outcome::unknown) {
-            log_failed(t, call, reply.refused_by, description);
+            log_unknown_outcome(t, call, reply.refused_by, description);
         }
         note_event(t.n.events, t.now, event_kind::call_refused, call.request.request_id,
                    reply.refused_by, description);
@@ -115,13 +115,13 @@
                    call.request.service, std::to_string(reply.status));
     }
     note_latency(t.n.latencies.call, t.now - call.taken_at);
-    give_answer(t, call, reply);
-    forget_call(t, call);
+    deliver_answer(t, call, reply);
+    erase_call(t, call);
 }
 
-void refuse_call(turn &t, call_ref id, wire::refusal why, const std::string &by)
+void refuse_call(step_context &t, call_ref id, wire::refusal why, const std::string &by)
 {
-    wire::reply_message reply = refusal_reply(why, by);
+    wire::reply_message reply = make_refusal_reply(why, by);
     finish_call(t, id, reply);
 }
 
--- a/gullstall/src/node/attempt.cpp
+++ b/gullstall/src/node/attempt.cpp
@@ -5,7 +5,8 @@
 
 namespace gullstall::internal {
 
-void send_attempt(turn &t, pending_call &call, const std::string &upstream, std::uint32_t share)
+void send_attempt(step_context &t, pending_call &call, const std::string &upstream,
+                  std::uint32_t share)
 {
     const std::string &self = t.n.settings.node.instance;
     std::uint64_t correlation = next_id(t.n);
@@ -21,30 +22,30 @@
         on_call(t, self, message);
         return;
     }
-    send_to(t, upstream, frame_of(std::move(message)));
+    send_to(t, upstream, make_frame(std::move(message)));
 }
 
 namespace {
 
 /// Maximum wait for an upstream: long enough for a replaced upstream to return, or
 /// for a started node to learn of other members.
-constexpr duration longest_wait_for_upstream = seconds(1);
+constexpr duration max_upstream_wait = seconds(1);
 
 /// A call waits for an upstream for its remaining time divided by this; the rest is
 /// left for its run.
-constexpr int wait_part = 2;
+constexpr int upstream_wait_divisor = 2;
 
 /// Lets a call issued by a run wait for an upstream of its service. If it were refused, the
 /// run would end with an error, which is stored as the outcome of the run's key.
 /// \returns whether it waits
-bool wait_for_upstream(turn &t, pending_call &call)
+bool wait_for_upstream(step_context &t, pending_call &call)
 {
     if (!call.parent || !t.n.guards.calls_wait) {
         return false;
     }
     if (!call.waits_until) {
-        duration part = (call.deadline - t.now) / wait_part;
-        call.waits_until = t.now + std::min(longest_wait_for_upstream, part);
+        duration part = (call.deadline - t.now) / upstream_wait_divisor;
+        call.waits_until = t.now + std::min(max_upstream_wait, part);
         log(t, write_log::severity::info, "call",
             "call-waits request=" + call.request.request_id + " service=" + call.request.service +
                 " members=" + std::to_string(t.n.members.members.size()));
@@ -59,12 +60,13 @@
 }  // namespace
 
 /// Sends the call to an upstream that has not been tried yet.
-void start_call(turn &t, call_ref id)
+void start_call(step_context &t, call_ref id)
 {
     pending_call &call = t.n.calls.at(id);
-    if (refuses_suspect(t, call.request)) {
+    if (is_refused_suspect(t, call.request)) {
         // It may have run on the workers that crashed.
-        wire::reply_message reply = refusal_reply(wire::refusal::suspect, call.request.service);
+        wire::reply_message reply =
+            make_refusal_reply(wire::refusal::suspect, call.request.service);
         reply.outcome = wire::outcome::unknown;
         finish_call(t, id, reply);
         return;
@@ -85,7 +87,7 @@
     send_attempt(t, call, *upstream, share);
 }
 
-void start_waiting_calls(turn &t)
+void start_waiting_calls(step_context &t)
 {
     std::vector<call_ref> waiting = std::exchange(t.n.waiting_calls, {});
     for (call_ref id : waiting) {
@@ -101,7 +103,7 @@
 
 namespace {
 
-bool worth_resending(const pending_call &call, const wire::reply_message &reply)
+bool is_retryable(const pending_call &call, const wire::reply_message &reply)
 {
     if (call.request.to_issuer) {
         return false;  // only the issuer may run it, and the issuer retries
@@ -120,7 +122,7 @@
 
 /// Retries the call if both the allowance of the request and the retry budget of
 /// the service permit it.
-bool try_resend(turn &t, call_ref id)
+bool try_resend(step_context &t, call_ref id)
 {
     pending_call &call = t.n.calls.at(id);
     if (call.retries.left == 0 || t.now >= call.deadline ||
@@ -136,7 +138,7 @@
 }
 
 /// Ends the current attempt with \a reply: retries or finishes the call.
-void end_attempt(turn &t, call_ref id, wire::reply_message &reply)
+void end_attempt(step_context &t, call_ref id, wire::reply_message &reply)
 {
     pending_call &call = t.n.calls.at(id);
     return_share(call.retries, call.current->share, reply.unspent);
@@ -145,7 +147,7 @@
     // The issuer of the key reports not_run only if it is certain.
     call.settled = call.request.to_issuer && reply.refusal != wire::refusal::connection_lost;
     call.may_have_run = call.may_have_run || reply.outcome == wire::outcome::unknown;
-    if (worth_resending(call, reply) && try_resend(t, id)) {
+    if (is_retryable(call, reply) && try_resend(t, id)) {
         return;
     }
     finish_call(t, id, reply);
@@ -168,7 +170,7 @@
 
 }  // namespace
 
-void on_reply(turn &t, const std::string &from, wire::reply_message &reply)
+void on_reply(step_context &t, const std::string &from, wire::reply_message &reply)
 {
     auto known = t.n.attempts.find(reply.correlation);
     if (known == t.n.attempts.end()) {
@@ -187,11 +189,11 @@
         reply.outcome == wire::outcome::unknown) {
         ++call.request.suspicion;
     }
-    learn_from(t, call, reply);
+    record_reply(t, call, reply);
     end_attempt(t, id, reply);
 }
 
-void on_peer_unreachable(turn &t, const peer_unreachable &e)
+void on_peer_unreachable(step_context &t, const peer_unreachable &e)
 {
     std::vector<std::uint64_t> broken;
     for (const auto &[correlation, id] : t.n.attempts) {
@@ -206,8 +208,8 @@
             continue;
         }
         bool unsent = std::find(e.unsent.begin(), e.unsent.end(), correlation) != e.unsent.end();
-        wire::reply_message reply = refusal_reply(wire::refusal::connection_lost,
-                                                  t.n.calls.at(known->second).request.service);
+        wire::reply_message reply = make_refusal_reply(wire::refusal::connection_lost,
+                                                       t.n.calls.at(known->second).request.service);
         reply.outcome = unsent ? wire::outcome::not_run : wire::outcome::unknown;
         note_failed(t.n.routes, e.instance, t.now);
         if (!unsent) {
--- a/gullstall/src/node/bundle_control.cpp
+++ b/gullstall/src/node/bundle_control.cpp
@@ -13,12 +13,12 @@
 /// returns the current rows.
 constexpr std::uint64_t impossible_version = std::numeric_limits<std::uint64_t>::max();
 
-bundle_follow &follow_of(turn &t)
+bundle_follow &follow_of(step_context &t)
 {
     return t.n.bundles.follow;
 }
 
-std::vector<std::string> draw_members(turn &t, std::size_t n)
+std::vector<std::string> sample_members(step_context &t, std::size_t n)
 {
     std::vector<std::string> names;
     for (const auto &[instance, it] : t.n.members.members) {
@@ -44,41 +44,42 @@
 }
 
 /// Sends the version in force to random members; every frame header contains it.
-void push_version(turn &t, std::size_t fanout)
+void push_version(step_context &t, std::size_t fanout)
 {
-    for (const std::string &it : draw_members(t, fanout)) {
-        send_to(t, it, frame_of(wire::bundle_content_message{}));
+    for (const std::string &it : sample_members(t, fanout)) {
+        send_to(t, it, make_frame(wire::bundle_content_message{}));
     }
 }
 
-void fetch_next(turn &t)
+void start_next_fetch(step_context &t)
 {
     auto order = begin_fetch(follow_of(t), version_in_force(t.n.bundles), t.now);
     if (!order) {
         return;
     }
     if (order->from.instance.empty()) {
-        ask(t, platform_purpose::bundle_row, table_read{{bundle_version_key(order->version)}});
+        send_platform_request(t, platform_purpose::bundle_row,
+                              table_read{{bundle_version_key(order->version)}});
         return;
     }
     wire::bundle_fetch_message message;
     message.version = order->version;
-    send_to_address(t, order->from.instance, endpoint{}, frame_of(message));
+    send_to_address(t, order->from.instance, endpoint{}, make_frame(message));
 }
 
-void note_refused(turn &t, const error &why)
+void log_refused_bundle(step_context &t, const error &why)
 {
     log(t, write_log::severity::warning, "bundle", why.message);
     note_event(t.n.events, t.now, event_kind::bundle_refused, "", "", why.message);
 }
 
 /// Verifies a bundle and puts it in force; logs the reason if it is refused.
-bool take_bundle(turn &t, const std::string &stored)
+bool try_apply_bundle(step_context &t, const std::string &stored)
 {
     result<done> applied = apply_bundle(t.n.bundles, stored, t.n.settings.trusted_keys, t.now,
                                         t.n.settings.trust.signers_required);
     if (!succeeded(applied)) {
-        note_refused(t, error_of(applied));
+        log_refused_bundle(t, error_of(applied));
         return false;
     }
     std::string version = std::to_string(version_in_force(t.n.bundles));
@@ -88,28 +89,28 @@
     if (version_in_force(t.n.bundles) >= follow_of(t).target) {
         push_version(t, push_fanout);
     }
-    offer_own_worker(t);
+    advertise_own_worker(t);
     return true;
 }
 
 /// Ends a fetch with its result, empty if it failed, and starts the next one.
-void end_fetch(turn &t, const std::string &stored)
+void end_fetch(step_context &t, const std::string &stored)
 {
-    if (!stored.empty() && take_bundle(t, stored)) {
+    if (!stored.empty() && try_apply_bundle(t, stored)) {
         fetch_succeeded(follow_of(t));
     } else {
         fetch_failed(follow_of(t), t.now);
     }
-    fetch_next(t);
+    start_next_fetch(t);
 }
 
 /// Considers a bundle as the first one of a started node.
-void consider_first(turn &t, const std::string &stored)
+void consider_initial_bundle(step_context &t, const std::string &stored)
 {
     result<verified_bundle> verified =
         verify_bundle(stored, t.n.settings.trusted_keys, t.n.settings.trust.signers_required);
     if (!succeeded(verified)) {
-        note_refused(t, error_of(verified));
+        log_refused_bundle(t, error_of(verified));
         return;
     }
     offer_candidate(follow_of(t), first_candidate{value_of(verified).content.head.version, stored});
@@ -117,17 +118,17 @@
 
 /// Asks the table, the seeds and some members for the newest bundle, while no
 /// bundle is in force.
-void ask_for_first(turn &t)
+void request_initial_bundle(step_context &t)
 {
     bundle_follow &it = follow_of(t);
     // A plain read may return a stale replica, and a started process doesn't know
     // a minimum version. A conditional write that can't succeed returns the
     // current row.
     if (t.n.bundles.guards.current_first) {
-        ask(t, platform_purpose::bundle_head,
-            table_commit{{row_write{bundle_head_key, impossible_version, ""}}});
+        send_platform_request(t, platform_purpose::bundle_head,
+                              table_commit{{row_write{bundle_head_key, impossible_version, ""}}});
     } else {
-        ask(t, platform_purpose::bundle_head, table_read{{bundle_head_key}});
+        send_platform_request(t, platform_purpose::bundle_head, table_read{{bundle_head_key}});
     }
     it.peers_asked = 0;
     it.peers_answered.clear();
@@ -137,17 +138,17 @@
     endpoint self{t.n.settings.listen.address, t.n.settings.listen.peers_port};
     for (const endpoint &seed : t.n.settings.seeds) {
         if (seed != self) {
-            send_to_address(t, "", seed, frame_of(wire::bundle_fetch_message{}));
+            send_to_address(t, "", seed, make_frame(wire::bundle_fetch_message{}));
             ++it.peers_asked;
         }
     }
-    for (const std::string &peer : draw_members(t, push_fanout)) {
-        send_to(t, peer, frame_of(wire::bundle_fetch_message{}));
+    for (const std::string &peer : sample_members(t, push_fanout)) {
+        send_to(t, peer, make_frame(wire::bundle_fetch_message{}));
         ++it.peers_asked;
     }
 }
 
-void tick_fresh(turn &t)
+void tick_without_bundle(step_context &t)
 {
     bundle_follow &it = follow_of(t);
     if (!it.began_at) {
@@ -156,16 +157,16 @@
     if (may_begin(it, t.n.members.members.size() > 1, t.now)) {
         std::string stored = std::move(it.best->stored);
         it.best.reset();
-        take_bundle(t, stored);
+        try_apply_bundle(t, stored);
         return;
     }
     if (t.now >= it.next_ask) {
         it.next_ask = t.now + first_ask_period;
-        ask_for_first(t);
+        request_initial_bundle(t);
     }
 }
 
-void on_first_head(turn &t, const platform_answer &answer)
+void on_initial_head(step_context &t, const platform_answer &answer)
 {
     bundle_follow &it = follow_of(t);
     bool answered =
@@ -180,18 +181,18 @@
     }
     result<bundle_head> head = parse_head(answer.rows.front().value);
     if (!succeeded(head)) {
-        note_refused(t, error_of(head));
+        log_refused_bundle(t, error_of(head));
         return;
     }
     it.table = table_view::head;
     it.head_version = value_of(head).version;
     if (!it.best || it.best->version < it.head_version) {
-        ask(t, platform_purpose::bundle_object,
-            object_get{bundle_object_name(value_of(head).object)});
+        send_platform_request(t, platform_purpose::bundle_object,
+                              object_get{bundle_object_name(value_of(head).object)});
     }
 }
 
-void on_content(turn &t, const std::string &from, std::uint64_t version_there,
+void on_content(step_context &t, const std::string &from, std::uint64_t version_there,
                 const wire::bundle_content_message &message)
 {
     bundle_follow &it = follow_of(t);
@@ -201,7 +202,7 @@
             it.peers_answered.insert(from);
         }
         if (!stored.empty()) {
-            consider_first(t, stored);
+            consider_initial_bundle(t, stored);
         }
         return;
     }
@@ -212,7 +213,7 @@
     }
 }
 
-void on_fetch(turn &t, const std::string &from, std::uint64_t version)
+void on_fetch(step_context &t, const std::string &from, std::uint64_t version)
 {
     wire::bundle_content_message out;
     out.version = version == 0 ? version_in_force(t.n.bundles) : version;
@@ -220,15 +221,15 @@
     if (held != t.n.bundles.held.end()) {
         out.content.assign(held->second.stored.begin(), held->second.stored.end());
     }
-    send_to_address(t, from, endpoint{}, frame_of(std::move(out)));
+    send_to_address(t, from, endpoint{}, make_frame(std::move(out)));
 }
 
 }  // namespace
 
-void on_head_answer(turn &t, const platform_answer &answer)
+void on_head_answer(step_context &t, const platform_answer &answer)
 {
     if (!t.n.bundles.in_force) {
-        on_first_head(t, answer);
+        on_initial_head(t, answer);
         return;
     }
     if (answer.status != platform_status::done || answer.rows.empty()) {
@@ -236,15 +237,15 @@
     }
     result<bundle_head> head = parse_head(answer.rows.front().value);
     if (!succeeded(head)) {
-        note_refused(t, error_of(head));
+        log_refused_bundle(t, error_of(head));
         return;
     }
     hear_version(follow_of(t), version_in_force(t.n.bundles), value_of(head).version,
                  bundle_source{});
-    fetch_next(t);
+    start_next_fetch(t);
 }
 
-void on_bundle_row(turn &t, const platform_answer &answer)
+void on_bundle_row(step_context &t, const platform_answer &answer)
 {
     if (!follow_of(t).fetch || !follow_of(t).fetch->from.instance.empty()) {
         return;
@@ -257,15 +258,16 @@
         end_fetch(t, "");
         return;
     }
-    ask(t, platform_purpose::bundle_object, object_get{bundle_object_name(value_of(row).object)});
+    send_platform_request(t, platform_purpose::bundle_object,
+                          object_get{bundle_object_name(value_of(row).object)});
 }
 
-void on_bundle_object(turn &t, const platform_answer &answer)
+void on_bundle_object(step_context &t, const platform_answer &answer)
 {
     std::string stored = answer.status == platform_status::done ? answer.content : "";
     if (!t.n.bundles.in_force) {
         if (!stored.empty()) {
-            consider_first(t, stored);
+            consider_initial_bundle(t, stored);
         }
         return;
     }
@@ -274,10 +276,10 @@
     }
 }
 
-void on_bundle_tick(turn &t)
+void on_bundle_tick(step_context &t)
 {
     if (!t.n.bundles.in_force) {
-        tick_fresh(t);
+        tick_without_bundle(t);
         return;
     }
     bundle_follow &it = follow_of(t);
@@ -285,7 +287,7 @@
         bool first = it.next_poll == time_point{};
         it.next_poll = next_head_poll(it, count_zone_members(t.n), t.n.random, t.now);
         if (!first) {
-            ask(t, platform_purpose::bundle_head, table_read{{bundle_head_key}});
+            send_platform_request(t, platform_purpose::bundle_head, table_read{{bundle_head_key}});
         }
     }
     if (t.now >= it.next_exchange) {
@@ -293,10 +295,10 @@
         push_version(t, 1);
     }
     expire_fetch(it, t.now);
-    fetch_next(t);
+    start_next_fetch(t);
 }
 
-void on_bundle_frame(turn &t, wire::frame_message &frame)
+void on_bundle_frame(step_context &t, wire::frame_message &frame)
 {
     std::uint64_t own = version_in_force(t.n.bundles);
     if (auto *fetch = frame.payload.Asbundle_fetch()) {
@@ -306,7 +308,8 @@
         on_content(t, frame.sender, frame.bundle_version, *content);
         if (content->version == 0 && frame.bundle_version < own) {
             // The sender has an older version: the header of the answer contains the newer.
-            send_to_address(t, frame.sender, endpoint{}, frame_of(wire::bundle_content_message{}));
+            send_to_address(t, frame.sender, endpoint{},
+                            make_frame(wire::bundle_content_message{}));
         }
     }
     if (!t.n.bundles.in_force || !t.n.bundles.guards.hear_frames) {
@@ -314,7 +317,7 @@
     }
     hear_version(follow_of(t), version_in_force(t.n.bundles), frame.bundle_version,
                  bundle_source{frame.sender});
-    fetch_next(t);
+    start_next_fetch(t);
 }
 
 }  // namespace gullstall::internal
--- a/gullstall/src/node/claim_control.cpp
+++ b/gullstall/src/node/claim_control.cpp
@@ -7,7 +7,7 @@
 /// After this time the answer of the zone's claim writer counts as lost.
 constexpr duration writer_timeout = milliseconds(300);
 /// After a lost answer the node commits its own claims for this long.
-constexpr duration writer_distrust = seconds(2);
+constexpr duration writer_backoff = seconds(2);
 
 /// \returns the node that groups the claims of this zone. All nodes with the same
 /// view of the members choose the same one. No election is needed, since a second
@@ -66,16 +66,17 @@
     return out;
 }
 
-void flush_group(turn &t)
+void flush_group(step_context &t)
 {
     if (std::optional<group_commit> group = next_group(t.n.claims, t.now)) {
         std::uint64_t number = group->number;
-        platform_ref id = ask(t, platform_purpose::claim_commit, std::move(group->commit));
+        platform_ref id =
+            send_platform_request(t, platform_purpose::claim_commit, std::move(group->commit));
         t.n.claim_commits[id] = number;
     }
 }
 
-void forward_batch(turn &t, claim_batch &&batch, const std::string &writer)
+void forward_batch(step_context &t, claim_batch &&batch, const std::string &writer)
 {
     wire::claim_batch_message message;
     message.number = batch.number;
@@ -83,13 +84,13 @@
         message.rows.push_back(make_item(row.key, row.expected_version, row.value));
     }
     t.n.claims_forwarded[batch.number] = forwarded_claims{writer, t.now};
-    send_to(t, writer, frame_of(std::move(message)));
+    send_to(t, writer, make_frame(std::move(message)));
 }
 
-void answer_batch(turn &t, batch_answer &&it)
+void answer_batch(step_context &t, batch_answer &&it)
 {
     if (it.origin == t.n.settings.node.instance) {
-        take_batch_answer(t, it.number, it.answer);
+        handle_batch_answer(t, it.number, it.answer);
         return;
     }
     wire::claim_result_message message;
@@ -98,19 +99,20 @@
     for (const table_row &row : it.answer.rows) {
         message.rows.push_back(make_item(row.key, row.version, row.value));
     }
-    send_to(t, it.origin, frame_of(std::move(message)));
+    send_to(t, it.origin, make_frame(std::move(message)));
 }
 
 /// Fails a batch that the writer did not answer. Its rows may have been written, or
 /// may still be.
-void lose_forwarded(turn &t, std::uint64_t number)
+void fail_forwarded_batch(step_context &t, std::uint64_t number)
 {
     t.n.claims_forwarded.erase(number);
-    t.n.claims_alone_until = t.now + writer_distrust;
-    take_batch_answer(t, number, platform_answer{platform_status::lost, {}, {}});
+    t.n.claims_alone_until = t.now + writer_backoff;
+    handle_batch_answer(t, number, platform_answer{platform_status::lost, {}, {}});
 }
 
-void on_claim_batch(turn &t, const std::string &from, const wire::claim_batch_message &message)
+void on_claim_batch(step_context &t, const std::string &from,
+                    const wire::claim_batch_message &message)
 {
     forwarded_batch batch{from, message.number, {}};
     for (const auto &row : message.rows) {
@@ -121,7 +123,8 @@
     flush_group(t);
 }
 
-void on_claim_result(turn &t, const std::string &from, const wire::claim_result_message &message)
+void on_claim_result(step_context &t, const std::string &from,
+                     const wire::claim_result_message &message)
 {
     auto found = t.n.claims_forwarded.find(message.number);
     if (found == t.n.claims_forwarded.end() || found->second.writer != from) {
@@ -133,12 +136,12 @@
         answer.rows.push_back(
             table_row{row->key, row->version, std::string(row->value.begin(), row->value.end())});
     }
-    take_batch_answer(t, message.number, answer);
+    handle_batch_answer(t, message.number, answer);
 }
 
 }  // namespace
 
-void flush_claims(turn &t)
+void flush_claims(step_context &t)
 {
     while (std::optional<claim_batch> batch = next_commit(t.n.once.writer, t.now)) {
         std::string writer = claim_writer_of_zone(t.n, t.now);
@@ -152,7 +155,7 @@
     flush_group(t);
 }
 
-void on_claim_frame(turn &t, wire::frame_message &frame)
+void on_claim_frame(step_context &t, wire::frame_message &frame)
 {
     if (const auto *batch = frame.payload.Asclaim_batch()) {
         on_claim_batch(t, frame.sender, *batch);
@@ -161,7 +164,7 @@
     }
 }
 
-void on_claim_commit(turn &t, platform_ref request, const platform_answer &answer)
+void on_claim_commit(step_context &t, platform_ref request, const platform_answer &answer)
 {
     auto found = t.n.claim_commits.find(request);
     std::uint64_t number = found->second;
@@ -172,7 +175,7 @@
     flush_claims(t);
 }
 
-void on_claim_writer_gone(turn &t, const std::string &instance)
+void on_claim_writer_gone(step_context &t, const std::string &instance)
 {
     std::vector<std::uint64_t> lost;
     for (const auto &[number, it] : t.n.claims_forwarded) {
@@ -181,15 +184,15 @@
         }
     }
     for (std::uint64_t number : lost) {
-        lose_forwarded(t, number);
+        fail_forwarded_batch(t, number);
     }
 }
 
-void expire_forwarded(turn &t)
+void expire_forwarded(step_context &t)
 {
     while (!t.n.claims_forwarded.empty() &&
            t.now >= t.n.claims_forwarded.begin()->second.sent_at + writer_timeout) {
-        lose_forwarded(t, t.n.claims_forwarded.begin()->first);
+        fail_forwarded_batch(t, t.n.claims_forwarded.begin()->first);
     }
 }
 
--- a/gullstall/src/node/control.cpp
+++ b/gullstall/src/node/control.cpp
@@ -6,15 +6,15 @@
 
 /// Maximum time that a stop waits for outcomes to be written during an outage of
 /// the platform.
-constexpr duration outcome_settle_time = seconds(3);
+constexpr duration max_outcome_write_wait = seconds(3);
 
 /// Calls of callers are accepted for this long after a stop request. The process runs on
 /// for about as long, so that other nodes learn that it is leaving.
-constexpr duration entry_notice = milliseconds(1800);
+constexpr duration caller_grace_period = milliseconds(1800);
 
 }  // namespace
 
-void on_control_tick(turn &t)
+void on_control_tick(step_context &t)
 {
     on_member_tick(t);
     on_bundle_tick(t);
@@ -22,7 +22,7 @@
     on_suspect_tick(t);
 }
 
-void on_platform_answered(turn &t, platform_answered &e)
+void on_platform_answered(step_context &t, platform_answered &e)
 {
     auto found = t.n.platform_waiting.find(e.request);
     if (found == t.n.platform_waiting.end()) {
@@ -55,17 +55,17 @@
     }
 }
 
-void on_worker_announced(turn &t, const worker_announced &e)
+void on_worker_announced(step_context &t, const worker_announced &e)
 {
     t.n.slots = e.slots;
     t.n.worker_leaves = false;
     t.n.contacts.worker_silent = false;
     log(t, write_log::severity::info, "worker",
         "registered with " + std::to_string(e.slots) + " slots");
-    offer_own_worker(t);
+    advertise_own_worker(t);
 }
 
-void offer_own_worker(turn &t)
+void advertise_own_worker(step_context &t)
 {
     bool serves = t.n.slots > 0 && t.n.bundles.in_force && !t.n.worker_leaves && !t.n.stopping;
     if (serves) {
@@ -73,33 +73,33 @@
     }
 }
 
-void on_worker_leaving(turn &t)
+void on_worker_leaving(step_context &t)
 {
     t.n.worker_leaves = true;
     log(t, write_log::severity::info, "worker", "worker is leaving");
     set_own_state(t, wire::member_state::leaving);
 }
 
-void on_stop_requested(turn &t)
+void on_stop_requested(step_context &t)
 {
     if (t.n.stopping) {
         return;
     }
     t.n.stopping = true;
-    t.n.settle_until = t.now + outcome_settle_time;
+    t.n.settle_until = t.now + max_outcome_write_wait;
     t.n.stop_asked_at = t.now;
     log(t, write_log::severity::info, "node", "stopping");
     note_event(t.n.events, t.now, event_kind::stop_began, "", t.n.settings.node.instance, "");
     set_own_state(t, wire::member_state::leaving);
 }
 
-bool takes_callers(const node &n, time_point now)
+bool accepts_callers(const node &n, time_point now)
 {
     // If a successor is running, replies would be sent to it.
-    return !n.stopping || (!n.gossip.superseded && now < n.stop_asked_at + entry_notice);
+    return !n.stopping || (!n.gossip.superseded && now < n.stop_asked_at + caller_grace_period);
 }
 
-void on_control_frame(turn &t, wire::frame_message &frame)
+void on_control_frame(step_context &t, wire::frame_message &frame)
 {
     on_member_frame(t, frame);
     on_bundle_frame(t, frame);
@@ -107,7 +107,7 @@
     on_suspect_frame(t, frame);
 }
 
-void finish_stop(turn &t)
+void finish_stop(step_context &t)
 {
     if (!t.n.stopping || t.n.stopped || !t.n.runs.empty() || !t.n.calls.empty()) {
         return;
--- a/gullstall/src/node/entry.cpp
+++ b/gullstall/src/node/entry.cpp
@@ -8,7 +8,7 @@
 
 /// Sets the fields that a nested call inherits from its run, or that the bundle
 /// defines for a new request.
-void set_context(turn &t, pending_call &call, const caller_call &asked)
+void set_request_context(step_context &t, pending_call &call, const caller_call &asked)
 {
     wire::call_message &request = call.request;
     // A nested call uses the bundle version of its request, even if a newer one
@@ -52,12 +52,12 @@
     call.retries.left = lost_context ? 0 : policy.limits.retry_allowance;
 }
 
-void refuse_unready(turn &t, call_ref id, wire::refusal why, const caller_call &asked)
+void refuse_on_arrival(step_context &t, call_ref id, wire::refusal why, const caller_call &asked)
 {
     ++t.n.counters.refusals[std::string(wire::EnumNamerefusal(why)) + "/-"];
     bool knows = knows_not_run(t.n.once, asked.key, asked.attempt);
     note_event(t.n.events, t.now, event_kind::call_refused, asked.request_id,
-               t.n.settings.node.service, describe_unready(t.n, asked, why));
+               t.n.settings.node.service, describe_arrival_refusal(t.n, asked, why));
     t.out.emplace_back(
         answer_call{id, caller_answer{knows ? wire::outcome::not_run : wire::outcome::unknown,
                                       why,
@@ -73,7 +73,7 @@
 /// Lets a repeat wait for the call in flight with the same request id instead of
 /// running it again with a retry allowance of its own.
 /// \returns whether the call was handled as a repeat
-bool join_call_in_flight(turn &t, const call_arrived &e)
+bool join_call_in_flight(step_context &t, const call_arrived &e)
 {
     auto entered = t.n.entered.find(e.request.request_id);
     if (!t.n.guards.join_repeats || entered == t.n.entered.end()) {
@@ -84,7 +84,7 @@
                 call.request.operation == e.request.operation &&
                 call.request.key == e.request.key && call.request.body == e.request.body;
     if (!same) {
-        refuse_unready(t, e.call, wire::refusal::key_mismatch, e.request);
+        refuse_on_arrival(t, e.call, wire::refusal::key_mismatch, e.request);
         return true;
     }
     ++t.n.counters.repeats_joined;
@@ -95,16 +95,16 @@
 
 }  // namespace
 
-void on_call_arrived(turn &t, call_arrived &e)
+void on_call_arrived(step_context &t, call_arrived &e)
 {
     ++t.n.counters.calls_taken;
     std::optional<run_ref> parent = parse_context(t.n, e.request.context);
     if (!t.n.bundles.in_force || is_stale(t.n.gossip, t.now)) {
-        refuse_unready(t, e.call, wire::refusal::starting, e.request);
+        refuse_on_arrival(t, e.call, wire::refusal::starting, e.request);
         return;
     }
-    if (!parent && !takes_callers(t.n, t.now)) {
-        refuse_unready(t, e.call, wire::refusal::leaving, e.request);
+    if (!parent && !accepts_callers(t.n, t.now)) {
+        refuse_on_arrival(t, e.call, wire::refusal::leaving, e.request);
         return;
     }
     if (!parent && join_call_in_flight(t, e)) {
@@ -120,11 +120,11 @@
     call.request.key = e.request.key;
     call.request.attempt = e.request.attempt;
     call.request.body = std::move(e.request.body);
-    set_context(t, call, e.request);
-    take_call(t, std::move(call));
+    set_request_context(t, call, e.request);
+    accept_call(t, std::move(call));
 }
 
-void take_call(turn &t, pending_call &&taken)
+void accept_call(step_context &t, pending_call &&taken)
 {
     call_ref id = taken.id;
     auto [found, fresh] = t.n.calls.emplace(id, std::move(taken));
@@ -139,13 +139,13 @@
         t.n.entered.try_emplace(call.request.request_id, id);
     }
     if (!call.parent) {
-        if (auto by = refused_at_entry(t, call.request)) {
+        if (auto by = find_refusing_service(t, call.request)) {
             refuse_call(t, id, wire::refusal::overload, *by);
             return;
         }
     }
     if (call.request.non_idempotent) {
-        take_once_call(t, id);
+        accept_once_call(t, id);
         return;
     }
     start_call(t, id);
@@ -154,7 +154,7 @@
 namespace {
 
 /// Cancels the run of an attempt, on the local worker or at its upstream's node.
-void break_off_attempt(turn &t, const attempt &last)
+void cancel_attempt(step_context &t, const attempt &last)
 {
     if (last.instance == t.n.settings.node.instance) {
         on_cancel(t, last.instance, last.correlation);
@@ -162,30 +162,30 @@
     }
     wire::cancel_message message;
     message.correlation = last.correlation;
-    send_to(t, last.instance, frame_of(message));
+    send_to(t, last.instance, make_frame(message));
 }
 
 }  // namespace
 
-void cancel_call(turn &t, call_ref id)
+void cancel_call(step_context &t, call_ref id)
 {
     auto found = t.n.calls.find(id);
     if (found == t.n.calls.end()) {
         return;
     }
     pending_call &call = found->second;
-    if (runs_on_without_caller(call)) {
+    if (continues_without_caller(call)) {
         return;
     }
     if (call.current) {
         attempt last = *call.current;
-        break_off_attempt(t, last);
+        cancel_attempt(t, last);
         note_ended(t.n.routes, last.instance);
     }
-    forget_call(t, call);
+    erase_call(t, call);
 }
 
-void on_call_abandoned(turn &t, call_ref id)
+void on_call_abandoned(step_context &t, call_ref id)
 {
     auto repeat = t.n.joined.find(id);
     auto found = t.n.calls.find(repeat == t.n.joined.end() ? id : repeat->second);
@@ -200,19 +200,20 @@
     }
 }
 
-void expire_calls(turn &t)
+void expire_calls(step_context &t)
 {
     while (!t.n.call_deadlines.empty() && t.n.call_deadlines.begin()->first <= t.now) {
         call_ref id = t.n.call_deadlines.begin()->second;
         pending_call &call = t.n.calls.at(id);
-        wire::reply_message reply = refusal_reply(wire::refusal::deadline, call.request.service);
+        wire::reply_message reply =
+            make_refusal_reply(wire::refusal::deadline, call.request.service);
         if (call.current) {
             reply.outcome = wire::outcome::unknown;
             attempt last = *call.current;
             note_answered(t.n.routes, last.instance, t.now - last.sent_at);
             t.n.attempts.erase(last.correlation);
             call.current.reset();
-            break_off_attempt(t, last);
+            cancel_attempt(t, last);
         }
         finish_call(t, id, reply);
     }
--- a/gullstall/src/node/explain.cpp
+++ b/gullstall/src/node/explain.cpp
@@ -8,7 +8,7 @@
 
 /// \returns " key=value"
 template <class Value>
-std::string pair_of(const char *key, const Value &value)
+std::string format_field(const char *key, const Value &value)
 {
     if constexpr (std::is_convertible_v<Value, std::string>) {
         return std::string(" ") + key + "=" + std::string(value);
@@ -34,24 +34,26 @@
                              const wire::reply_message &reply)
 {
     const wire::call_message &it = call.request;
-    std::string out = std::string("reason=") + wire::EnumNamerefusal(reply.refusal) +
-                      pair_of("outcome", wire::EnumNameoutcome(reply.outcome)) +
-                      pair_of("service", it.service) + pair_of("operation", it.operation) +
-                      pair_of("class", class_name_of(n, it.call_type)) +
-                      pair_of("priority", it.class_priority) + pair_of("rank", it.rank) +
-                      pair_of("request_level", make_priority(it.class_priority, it.rank).value) +
-                      pair_of("bundle", it.bundle_version) + pair_of("tried", call.tried.size());
+    std::string out =
+        std::string("reason=") + wire::EnumNamerefusal(reply.refusal) +
+        format_field("outcome", wire::EnumNameoutcome(reply.outcome)) +
+        format_field("service", it.service) + format_field("operation", it.operation) +
+        format_field("class", class_name_of(n, it.call_type)) +
+        format_field("priority", it.class_priority) + format_field("rank", it.rank) +
+        format_field("request_level", make_priority(it.class_priority, it.rank).value) +
+        format_field("bundle", it.bundle_version) + format_field("tried", call.tried.size());
     auto heard = n.touches.levels.find(reply.refused_by);
     if (heard != n.touches.levels.end()) {
-        out += pair_of("admitted_level", static_cast<std::uint64_t>(heard->second.average));
+        out += format_field("admitted_level", static_cast<std::uint64_t>(heard->second.average));
     }
     return out;
 }
 
-std::string describe_unready(const node &n, const caller_call &asked, wire::refusal why)
+std::string describe_arrival_refusal(const node &n, const caller_call &asked, wire::refusal why)
 {
-    return std::string("reason=") + wire::EnumNamerefusal(why) + pair_of("service", asked.service) +
-           pair_of("operation", asked.operation) + pair_of("bundle", version_in_force(n.bundles));
+    return std::string("reason=") + wire::EnumNamerefusal(why) +
+           format_field("service", asked.service) + format_field("operation", asked.operation) +
+           format_field("bundle", version_in_force(n.bundles));
 }
 
 }  // namespace gullstall::internal
--- a/gullstall/src/node/member_control.cpp
+++ b/gullstall/src/node/member_control.cpp
@@ -15,27 +15,27 @@
 constexpr std::size_t contacts_per_search = 8;
 constexpr duration worker_check_interval = milliseconds(500);
 
-duration draw_duration(turn &t, duration below)
+duration random_duration(step_context &t, duration below)
 {
     return microseconds(draw_below(t.n.random, static_cast<std::uint64_t>(below.count())));
 }
 
-duration term_length(const turn &t)
+duration term_length(const step_context &t)
 {
     return milliseconds(t.n.settings.membership.lease_ms) / 2;
 }
 
-std::uint64_t term_at(const turn &t)
+std::uint64_t term_at(const step_context &t)
 {
     return static_cast<std::uint64_t>(t.now.time_since_epoch() / term_length(t));
 }
 
-bool is_alone(turn &t)
+bool knows_no_member(step_context &t)
 {
     return ring_size(t.n.gossip, t.n.members) == 1;
 }
 
-void note_change(turn &t, const state_change &change)
+void record_change(step_context &t, const state_change &change)
 {
     note_event(t.n.events, t.now, event_kind::member_changed, "", change.instance,
                wire::EnumNamemember_state(change.after));
@@ -49,7 +49,7 @@
 /// Stops this process if a later process of the same instance is running. It can
 /// have been suspended while its successor started, and two nodes would then use
 /// one name.
-void stop_if_superseded(turn &t)
+void stop_if_superseded(step_context &t)
 {
     if (t.n.gossip.superseded && !t.n.stopping) {
         log(t, write_log::severity::warning, "member",
@@ -58,30 +58,30 @@
     }
 }
 
-void carry_out(turn &t, gossip_result &&done)
+void apply_gossip_result(step_context &t, gossip_result &&done)
 {
     for (const state_change &it : done.changes) {
-        note_change(t, it);
+        record_change(t, it);
     }
     for (gossip_send &it : done.sends) {
         if (it.instance.empty()) {
-            send_to_address(t, "", it.to, frame_of(std::move(it.message)));
+            send_to_address(t, "", it.to, make_frame(std::move(it.message)));
         } else {
-            send_to(t, it.instance, frame_of(std::move(it.message)));
+            send_to(t, it.instance, make_frame(std::move(it.message)));
         }
     }
     stop_if_superseded(t);
 }
 
-void contact(turn &t, const endpoint &to)
+void contact_endpoint(step_context &t, const endpoint &to)
 {
     gossip_result out;
     out.sends.push_back(first_contact(t.n.gossip, t.n.members, to));
-    carry_out(t, std::move(out));
+    apply_gossip_result(t, std::move(out));
 }
 
 /// \returns whether a known member that is not dead listens at \a at
-bool is_known(const turn &t, const endpoint &at)
+bool is_known(const step_context &t, const endpoint &at)
 {
     return std::any_of(t.n.members.members.begin(), t.n.members.members.end(), [&](const auto &it) {
         return it.second.state != member_state::dead && it.second.port == at.port &&
@@ -89,29 +89,29 @@
     });
 }
 
-void contact_seeds(turn &t)
+void contact_seeds(step_context &t)
 {
     for (const endpoint &it : t.n.settings.seeds) {
         if (!is_known(t, it)) {
-            contact(t, it);
+            contact_endpoint(t, it);
         }
     }
 }
 
-void scan_rows(turn &t)
+void request_contact_scan(step_context &t)
 {
     if (!t.n.contacts.asked) {
         t.n.contacts.asked = true;
-        ask(t, platform_purpose::member_scan, table_scan{member_row_prefix});
+        send_platform_request(t, platform_purpose::member_scan, table_scan{member_row_prefix});
     }
 }
 
 /// Contacts some of the members listed in the rows that this node doesn't know.
 /// Only their addresses are used, since the listed states may be outdated.
 /// \returns the number of members contacted
-std::size_t contact_rows(turn &t, const std::vector<table_row> &rows)
+std::size_t contact_unknown_members(step_context &t, const std::vector<table_row> &rows)
 {
-    std::vector<endpoint> lacking;
+    std::vector<endpoint> unknown_endpoints;
     for (const table_row &row : rows) {
         result<std::vector<member>> read = decode_contacts(row.value);
         if (!succeeded(read)) {
@@ -122,21 +122,21 @@
             bool lacks =
                 known == t.n.members.members.end() || known->second.incarnation < it.incarnation;
             if (lacks && !is_known(t, endpoint{it.address, it.port})) {
-                lacking.push_back(endpoint{it.address, it.port});
+                unknown_endpoints.push_back(endpoint{it.address, it.port});
             }
         }
     }
     std::size_t contacted = 0;
-    while (!lacking.empty() && contacted < contacts_per_search) {
-        std::size_t chosen = draw_below(t.n.random, lacking.size());
-        contact(t, lacking[chosen]);
-        lacking.erase(lacking.begin() + static_cast<std::ptrdiff_t>(chosen));
+    while (!unknown_endpoints.empty() && contacted < contacts_per_search) {
+        std::size_t chosen = draw_below(t.n.random, unknown_endpoints.size());
+        contact_endpoint(t, unknown_endpoints[chosen]);
+        unknown_endpoints.erase(unknown_endpoints.begin() + static_cast<std::ptrdiff_t>(chosen));
         ++contacted;
     }
     return contacted;
 }
 
-std::vector<member> choose_contacts(turn &t)
+std::vector<member> choose_contacts(step_context &t)
 {
     std::vector<member> zone;
     for (const auto &[instance, known] : t.n.members.members) {
@@ -154,7 +154,7 @@
     return out;
 }
 
-void write_row(turn &t, std::size_t slot, const std::vector<table_row> &rows)
+void write_contact_row(step_context &t, std::size_t slot, const std::vector<table_row> &rows)
 {
     std::string key = contact_row_key(t.n.settings.node.zone, slot);
     std::uint64_t version = 0;
@@ -162,49 +162,49 @@
         version = row.key == key ? row.version : version;
     }
     row_write row{key, version, encode_contacts(choose_contacts(t))};
-    ask(t, platform_purpose::member_lease, table_commit{{row}});
+    send_platform_request(t, platform_purpose::member_lease, table_commit{{row}});
 }
 
 /// Searches the seeds and the table for members while no other member is known.
-void search(turn &t)
+void search_for_members(step_context &t)
 {
-    if (t.now < t.n.contacts.next_search || !is_alone(t)) {
+    if (t.now < t.n.contacts.next_search || !knows_no_member(t)) {
         return;
     }
-    t.n.contacts.next_search = t.now + search_interval + draw_duration(t, search_interval);
+    t.n.contacts.next_search = t.now + search_interval + random_duration(t, search_interval);
     contact_seeds(t);
-    scan_rows(t);
+    request_contact_scan(t);
 }
 
 /// Refreshes a contact row of the table in the terms assigned to this node.
-void take_turn(turn &t)
+void refresh_contact_row(step_context &t)
 {
     if (t.now < t.n.contacts.next_turn) {
         return;
     }
     time_point next_term{term_length(t) * static_cast<std::int64_t>(term_at(t) + 1)};
-    t.n.contacts.next_turn = next_term + draw_duration(t, search_interval);
-    if (is_alone(t) || !turn_of(t.n.members, t.n.settings.node.instance, term_at(t))) {
+    t.n.contacts.next_turn = next_term + random_duration(t, search_interval);
+    if (knows_no_member(t) || !turn_of(t.n.members, t.n.settings.node.instance, term_at(t))) {
         return;
     }
     contact_seeds(t);
-    scan_rows(t);
+    request_contact_scan(t);
 }
 
 }  // namespace
 
-void on_scan_answer(turn &t, const platform_answer &answer)
+void on_scan_answer(step_context &t, const platform_answer &answer)
 {
     contact_turns &turns = t.n.contacts;
     turns.asked = false;
     if (answer.status != platform_status::done) {
         return;
     }
-    std::size_t contacted = contact_rows(t, answer.rows);
-    if (!is_alone(t)) {
+    std::size_t contacted = contact_unknown_members(t, answer.rows);
+    if (!knows_no_member(t)) {
         turns.searches = 0;
         if (auto slot = turn_of(t.n.members, t.n.settings.node.instance, term_at(t))) {
-            write_row(t, *slot, answer.rows);
+            write_contact_row(t, *slot, answer.rows);
         }
         return;
     }
@@ -213,18 +213,18 @@
     ++turns.searches;
     if (contacted == 0 || turns.searches > searches_before_overwrite) {
         std::size_t slot = draw_below(t.n.random, contact_rows_per_zone);
-        write_row(t, slot, answer.rows);
+        write_contact_row(t, slot, answer.rows);
     }
 }
 
-void on_lease_answer(turn &t, const platform_answer &answer)
+void on_lease_answer(step_context &t, const platform_answer &answer)
 {
-    if (answer.status == platform_status::conflict && is_alone(t)) {
-        contact_rows(t, answer.rows);  // another node wrote the row first: contact it
+    if (answer.status == platform_status::conflict && knows_no_member(t)) {
+        contact_unknown_members(t, answer.rows);  // another node wrote the row first: contact it
     }
 }
 
-void set_own_state(turn &t, member_state state)
+void set_own_state(step_context &t, member_state state)
 {
     member &self = t.n.members.members.at(t.n.settings.node.instance);
     if (self.state == state) {
@@ -237,10 +237,10 @@
                wire::EnumNamemember_state(state));
     gossip_result out;
     announce_self(t.n.gossip, t.n.members, t.n.random, t.now, out);
-    carry_out(t, std::move(out));
+    apply_gossip_result(t, std::move(out));
 }
 
-void on_step_time(turn &t)
+void on_step_time(step_context &t)
 {
     time_point before = t.n.contacts.last_step;
     t.n.contacts.last_step = t.now;
@@ -255,24 +255,24 @@
         "process was suspended for " + std::to_string(to_ms(t.now - before)) + " ms");
     gossip_result out;
     note_pause(t.n.gossip, t.n.members, t.n.random, t.now, out);
-    carry_out(t, std::move(out));
+    apply_gossip_result(t, std::move(out));
 }
 
-void on_member_tick(turn &t)
+void on_member_tick(step_context &t)
 {
     if (t.n.contacts.next_search == time_point{}) {
-        t.n.contacts.next_search = t.now + draw_duration(t, first_search_spread);
-        t.n.contacts.next_turn = t.now + draw_duration(t, term_length(t));
+        t.n.contacts.next_search = t.now + random_duration(t, first_search_spread);
+        t.n.contacts.next_turn = t.now + random_duration(t, term_length(t));
     }
     gossip_result out;
     tick_gossip(t.n.gossip, t.n.members, t.n.random, t.now, out);
-    carry_out(t, std::move(out));
-    search(t);
-    take_turn(t);
+    apply_gossip_result(t, std::move(out));
+    search_for_members(t);
+    refresh_contact_row(t);
     check_silent_worker(t);
 }
 
-void on_member_frame(turn &t, wire::frame_message &frame)
+void on_member_frame(step_context &t, wire::frame_message &frame)
 {
     const wire::gossip_message *message = frame.payload.Asgossip();
     if (message == nullptr) {
@@ -280,17 +280,17 @@
     }
     gossip_result out;
     take_gossip(t.n.gossip, t.n.members, t.n.random, t.now, frame.sender, *message, out);
-    carry_out(t, std::move(out));
+    apply_gossip_result(t, std::move(out));
 }
 
-void on_member_unreachable(turn &t, const std::string &instance)
+void on_member_unreachable(step_context &t, const std::string &instance)
 {
     gossip_result out;
     note_unreachable(t.n.gossip, t.n.members, t.n.random, t.now, instance, out);
-    carry_out(t, std::move(out));
+    apply_gossip_result(t, std::move(out));
 }
 
-void on_worker_end(turn &t, worker_end end)
+void on_worker_end(step_context &t, worker_end end)
 {
     bool failed = end == worker_end::not_sent || end == worker_end::lost;
     if (failed && !t.n.contacts.checking_worker) {
@@ -299,7 +299,7 @@
     }
 }
 
-void on_worker_checked(turn &t, const worker_checked &e)
+void on_worker_checked(step_context &t, const worker_checked &e)
 {
     contact_turns &turns = t.n.contacts;
     turns.checking_worker = false;
@@ -318,7 +318,7 @@
     set_own_state(t, e.reachable ? member_state::alive : member_state::leaving);
 }
 
-void check_silent_worker(turn &t)
+void check_silent_worker(step_context &t)
 {
     contact_turns &turns = t.n.contacts;
     if (turns.worker_silent && !turns.checking_worker && t.now >= turns.next_check) {
--- a/gullstall/src/node/once_control.cpp
+++ b/gullstall/src/node/once_control.cpp
@@ -36,7 +36,7 @@
     return out;
 }
 
-void carry_out(turn &t, once_orders &orders)
+void apply_once_orders(step_context &t, once_orders &orders)
 {
     for (once_order &order : orders) {
         auto found = t.n.calls.find(order.call);
@@ -62,7 +62,7 @@
 
 /// \returns the node that issued the key, if it is another node that still runs
 /// in the incarnation named by the key
-std::optional<std::string> issuer_elsewhere(const node &n, const std::string &key)
+std::optional<std::string> find_other_issuer(const node &n, const std::string &key)
 {
     std::optional<issued_key> parts = parse_issued_key(key);
     if (!parts || parts->instance == n.settings.node.instance || !n.once.guards.issuer_only) {
@@ -77,14 +77,14 @@
 
 }  // namespace
 
-bool runs_on_without_caller(const pending_call &call)
+bool continues_without_caller(const pending_call &call)
 {
     // A cancelled non-idempotent call has an unknown outcome. If it runs to its
     // end, a repeat of the caller gets its answer.
     return call.request.non_idempotent && !call.request.key.empty();
 }
 
-void on_key_asked(turn &t, call_ref id)
+void on_key_asked(step_context &t, call_ref id)
 {
     caller_answer answer{wire::outcome::not_run,
                          wire::refusal::starting,
@@ -106,7 +106,7 @@
     t.out.emplace_back(answer_call{id, std::move(answer)});
 }
 
-void on_once_tick(turn &t)
+void on_once_tick(step_context &t)
 {
     if (t.n.bundles.in_force) {
         t.n.once.memory = milliseconds(t.n.bundles.in_force->content.limits.key_memory_ms);
@@ -114,16 +114,16 @@
     expire_forwarded(t);
     flush_claims(t);
     if (std::optional<table_read> read = next_claim_read(t.n.once, t.now)) {
-        platform_ref id = ask(t, platform_purpose::claim_read, *read);
+        platform_ref id = send_platform_request(t, platform_purpose::claim_read, *read);
         t.n.claim_reads[id] = std::move(*read);
     }
     forget_keys(t.n.once, t.now);
 }
 
-void take_once_call(turn &t, call_ref id)
+void accept_once_call(step_context &t, call_ref id)
 {
     pending_call &call = t.n.calls.at(id);
-    if (auto issuer = issuer_elsewhere(t.n, call.request.key)) {
+    if (auto issuer = find_other_issuer(t.n, call.request.key)) {
         call.request.to_issuer = true;
         std::uint32_t share = call.retries.left;
         call.retries.left = 0;
@@ -137,11 +137,11 @@
                             digest_of_request(request.service, request.operation, request.body),
                             call.deadline},
                 t.now, orders);
-    carry_out(t, orders);
+    apply_once_orders(t, orders);
     flush_claims(t);
 }
 
-void end_once_call(turn &t, const pending_call &call, wire::reply_message &reply)
+void end_once_call(step_context &t, const pending_call &call, wire::reply_message &reply)
 {
     const wire::call_message &request = call.request;
     if (!request.non_idempotent || request.key.empty()) {
@@ -156,11 +156,11 @@
     end_ticket(t.n.once, call.id,
                once_end{reply.outcome, reply.status, reply.content_type, reply.body, reply.refusal},
                t.now, orders);
-    carry_out(t, orders);
+    apply_once_orders(t, orders);
     flush_claims(t);
 }
 
-void on_call_to_issuer(turn &t, const std::string &from, wire::call_message &message)
+void on_call_to_issuer(step_context &t, const std::string &from, wire::call_message &message)
 {
     pending_call call;
     call.id = call_ref{issuer_call_bit | next_id(t.n)};
@@ -173,31 +173,32 @@
     call.request.non_idempotent = true;
     if (!t.n.bundles.in_force) {
         // An earlier process issued the key and may have run the call.
-        wire::reply_message reply = refusal_reply(wire::refusal::starting, call.request.service);
+        wire::reply_message reply =
+            make_refusal_reply(wire::refusal::starting, call.request.service);
         reply.outcome = wire::outcome::unknown;
         reply.correlation = call.origin->second;
         reply.unspent = call.retries.left;
-        send_to(t, from, frame_of(std::move(reply)));
+        send_to(t, from, make_frame(std::move(reply)));
         return;
     }
-    take_call(t, std::move(call));
+    accept_call(t, std::move(call));
 }
 
-void take_batch_answer(turn &t, std::uint64_t batch, const platform_answer &answer)
+void handle_batch_answer(step_context &t, std::uint64_t batch, const platform_answer &answer)
 {
     once_orders orders;
     take_claim_answer(t.n.once, batch, answer, t.now, orders);
-    carry_out(t, orders);
+    apply_once_orders(t, orders);
 }
 
-void on_claim_read(turn &t, platform_ref request, const platform_answer &answer)
+void on_claim_read(step_context &t, platform_ref request, const platform_answer &answer)
 {
     auto found = t.n.claim_reads.find(request);
     table_read asked = std::move(found->second);
     t.n.claim_reads.erase(found);
     once_orders orders;
     take_claim_rows(t.n.once, asked, answer, t.now, orders);
-    carry_out(t, orders);
+    apply_once_orders(t, orders);
     flush_claims(t);
 }
 
--- a/gullstall/src/node/send.cpp
+++ b/gullstall/src/node/send.cpp
@@ -7,12 +7,12 @@
     return ++n.last_id;
 }
 
-void log(turn &t, write_log::severity level, const char *part, std::string text)
+void log(step_context &t, write_log::severity level, const char *part, std::string text)
 {
     t.out.emplace_back(write_log{level, part, std::move(text)});
 }
 
-platform_ref ask(turn &t, platform_purpose purpose, platform_request what)
+platform_ref send_platform_request(step_context &t, platform_purpose purpose, platform_request what)
 {
     auto id = platform_ref{next_id(t.n)};
     t.n.platform_waiting[id] = purpose;
@@ -25,7 +25,7 @@
     return n.members.members.at(n.settings.node.instance);
 }
 
-void send_to_address(turn &t, const std::string &instance, const endpoint &to,
+void send_to_address(step_context &t, const std::string &instance, const endpoint &to,
                      wire::frame_message frame)
 {
     frame.sender = t.n.settings.node.instance;
@@ -35,7 +35,7 @@
     t.out.emplace_back(send_frame{instance, to, std::move(frame)});
 }
 
-void send_to(turn &t, const std::string &instance, wire::frame_message frame)
+void send_to(step_context &t, const std::string &instance, wire::frame_message frame)
 {
     auto known = t.n.members.members.find(instance);
     // A node that gossip has not announced yet is answered over the connection it opened.
--- a/gullstall/src/node/serve.cpp
+++ b/gullstall/src/node/serve.cpp
@@ -8,7 +8,7 @@
 
 /// Sends the reply to the node that sent the call, with the admission levels of
 /// this service and of the services that the call reached.
-void reply_to(turn &t, const std::string &origin, wire::reply_message reply,
+void reply_to(step_context &t, const std::string &origin, wire::reply_message reply,
               const std::map<std::string, admission_level> &touched)
 {
     const std::string &self = t.n.settings.node.instance;
@@ -25,10 +25,11 @@
         on_reply(t, self, reply);
         return;
     }
-    send_to(t, origin, frame_of(std::move(reply)));
+    send_to(t, origin, make_frame(std::move(reply)));
 }
 
-void refuse(turn &t, const std::string &origin, const wire::call_message &call, wire::refusal why)
+void refuse(step_context &t, const std::string &origin, const wire::call_message &call,
+            wire::refusal why)
 {
     wire::reply_message reply;
     reply.correlation = call.correlation;
@@ -41,7 +42,7 @@
 }
 
 /// Removes the run from all tables.
-active_run forget_run(turn &t, run_ref id)
+active_run erase_run(step_context &t, run_ref id)
 {
     auto found = t.n.runs.find(id);
     active_run run = std::move(found->second);
@@ -61,7 +62,7 @@
     return run;
 }
 
-void start_run(turn &t, run_ref id)
+void start_run(step_context &t, run_ref id)
 {
     active_run &run = t.n.runs.at(id);
     run.started_at = t.now;
@@ -71,19 +72,19 @@
     note_latency(t.n.latencies.queue_wait, t.now - run.queued_at);
     note_event(t.n.events, t.now, event_kind::run_started, run.call.request_id,
                t.n.settings.node.instance, run.call.operation);
-    t.out.emplace_back(run_on_worker{id, run.call.request_id, run.call.key, print_context(t.n, id),
+    t.out.emplace_back(run_on_worker{id, run.call.request_id, run.call.key, format_context(t.n, id),
                                      run.call.operation, run.deadline - t.now,
                                      std::move(run.call.body)});
 }
 
-void refuse_queued(turn &t, run_ref id, wire::refusal why)
+void refuse_queued(step_context &t, run_ref id, wire::refusal why)
 {
-    active_run run = forget_run(t, id);
+    active_run run = erase_run(t, id);
     refuse(t, run.origin, run.call, why);
 }
 
 /// \returns whether a slot is free and no run has or awaits the worker exclusively
-bool takes_runs(const node &n)
+bool can_start_run(const node &n)
 {
     return n.slots_used < n.slots && !n.alone && n.alone_waiting.empty();
 }
@@ -91,7 +92,7 @@
 /// \returns whether all started runs belong to the request \a suspect_id. A
 /// nested call that returns to a worker of its own request must not wait for
 /// the run that waits for it, which would be a deadlock.
-bool only_runs_of(const node &n, const std::string &suspect_id)
+bool runs_only_request(const node &n, const std::string &suspect_id)
 {
     return std::all_of(n.runs.begin(), n.runs.end(), [&](const auto &entry) {
         return !entry.second.started_at || entry.second.call.suspect_id == suspect_id;
@@ -100,12 +101,12 @@
 
 /// Starts runs of suspect requests, one request at a time: if it crashes the
 /// worker, no other request is in flight and becomes a suspect too.
-void start_suspects(turn &t)
+void start_suspect_runs(step_context &t)
 {
     std::deque<run_ref> waiting = t.n.alone_waiting;
     for (run_ref id : waiting) {
         const std::string &suspect_id = t.n.runs.at(id).call.suspect_id;
-        if (t.n.slots_used < t.n.slots && only_runs_of(t.n, suspect_id)) {
+        if (t.n.slots_used < t.n.slots && runs_only_request(t.n, suspect_id)) {
             std::erase(t.n.alone_waiting, id);
             t.n.alone = t.n.alone.value_or(id);
             start_run(t, id);
@@ -115,12 +116,12 @@
 
 /// Maximum queue wait of a call that is not protected. While protected calls use
 /// all slots it would otherwise hold slots of the services above until its deadline.
-constexpr duration longest_wait = milliseconds(200);
+constexpr duration max_unprotected_wait = milliseconds(200);
 
-void start_queued(turn &t)
+void start_queued(step_context &t)
 {
-    start_suspects(t);
-    while (takes_runs(t.n)) {
+    start_suspect_runs(t);
+    while (can_start_run(t.n)) {
         std::optional<run_ref> next = dequeue(t.n.queue);
         if (!next) {
             return;
@@ -130,7 +131,7 @@
 }
 
 /// Cancels the calls that the run has issued.
-void cancel_children(turn &t, const active_run &run)
+void cancel_child_calls(step_context &t, const active_run &run)
 {
     std::set<call_ref> children = run.children;
     for (call_ref child : children) {
@@ -139,10 +140,10 @@
 }
 
 /// Cancels a run and removes it.
-active_run break_off(turn &t, run_ref id)
+active_run cancel_run(step_context &t, run_ref id)
 {
-    cancel_children(t, t.n.runs.at(id));
-    active_run run = forget_run(t, id);
+    cancel_child_calls(t, t.n.runs.at(id));
+    active_run run = erase_run(t, id);
     if (run.started_at) {
         --t.n.slots_used;
         t.out.emplace_back(cancel_on_worker{id});
@@ -155,7 +156,7 @@
 }
 
 /// \param open_calls number of unanswered calls issued by the run
-void log_expired(turn &t, const active_run &run, std::size_t open_calls)
+void log_expired(step_context &t, const active_run &run, std::size_t open_calls)
 {
     log(t, write_log::severity::warning, "serve",
         "run-expired request=" + run.call.request_id + " origin=" + run.origin +
@@ -164,7 +165,8 @@
             " waited_ms=" + std::to_string(to_ms(t.now - run.queued_at)));
 }
 
-wire::reply_message reply_of(const active_run &run, worker_answered &e, const std::string &service)
+wire::reply_message make_reply(const active_run &run, worker_answered &e,
+                               const std::string &service)
 {
     wire::reply_message out;
     out.correlation = run.call.correlation;
@@ -195,7 +197,7 @@
 
 }  // namespace
 
-std::string print_context(const node &n, run_ref run)
+std::string format_context(const node &n, run_ref run)
 {
     return n.settings.node.instance + ":" + std::to_string(n.incarnation) + ":" +
            std::to_string(static_cast<std::uint64_t>(run));
@@ -208,23 +210,23 @@
         return std::nullopt;
     }
     run_ref run{std::strtoull(context.c_str() + last + 1, nullptr, 10)};
-    if (n.runs.count(run) == 0 || print_context(n, run) != context) {
+    if (n.runs.count(run) == 0 || format_context(n, run) != context) {
         return std::nullopt;
     }
     return run;
 }
 
-void on_call(turn &t, const std::string &from, wire::call_message &call)
+void on_call(step_context &t, const std::string &from, wire::call_message &call)
 {
     if (call.to_issuer) {
         on_call_to_issuer(t, from, call);
         return;
     }
-    if (refuses_suspect(t, call)) {
+    if (is_refused_suspect(t, call)) {
         refuse(t, from, call, wire::refusal::suspect);
         return;
     }
-    if (std::optional<wire::refusal> why = reason_to_refuse(t, call)) {
+    if (std::optional<wire::refusal> why = find_refusal_reason(t, call)) {
         refuse(t, from, call, *why);
         return;
     }
@@ -236,16 +238,16 @@
     run.queued_at = t.now;
     run.retries.left = call.allowance;
     run.call = std::move(call);
-    waiting_run waiting = waiting_of(t.n, run);
+    waiting_run waiting = make_waiting_run(t.n, run);
     t.n.served[{from, run.call.correlation}] = id;
     t.n.run_deadlines.emplace(run.deadline, id);
     t.n.runs.emplace(id, std::move(run));
-    if (runs_alone(t.n, t.n.runs.at(id).call)) {
+    if (requires_exclusive_worker(t.n, t.n.runs.at(id).call)) {
         t.n.alone_waiting.push_back(id);
         start_queued(t);
         return;
     }
-    if (takes_runs(t.n)) {
+    if (can_start_run(t.n)) {
         start_run(t, id);
         return;
     }
@@ -254,10 +256,10 @@
     }
 }
 
-void refuse_overdue(turn &t)
+void refuse_long_waiting(step_context &t)
 {
     while (std::optional<run_ref> oldest = first_common(t.n.queue)) {
-        if (t.now - t.n.runs.at(*oldest).queued_at <= longest_wait) {
+        if (t.now - t.n.runs.at(*oldest).queued_at <= max_unprotected_wait) {
             return;
         }
         remove_run(t.n.queue, *oldest);
@@ -265,20 +267,20 @@
     }
 }
 
-void on_cancel(turn &t, const std::string &from, std::uint64_t correlation)
+void on_cancel(step_context &t, const std::string &from, std::uint64_t correlation)
 {
     auto found = t.n.served.find({from, correlation});
     if (found == t.n.served.end() || !t.n.rules.cancel_below) {
         return;
     }
-    break_off(t, found->second);
+    cancel_run(t, found->second);
     start_queued(t);
 }
 
 /// Cancels the runs requested by \a origin. It no longer waits for the replies,
 /// and their slots are needed for requests that can be answered. Non-idempotent
 /// runs that have started continue, so that their outcome is known.
-void on_origin_lost(turn &t, const std::string &origin)
+void on_origin_lost(step_context &t, const std::string &origin)
 {
     std::vector<run_ref> lost;
     for (auto it = t.n.served.lower_bound({origin, 0});
@@ -289,18 +291,18 @@
         }
     }
     for (run_ref id : lost) {
-        break_off(t, id);
+        cancel_run(t, id);
     }
     start_queued(t);
 }
 
-void on_worker_answered(turn &t, worker_answered &e)
+void on_worker_answered(step_context &t, worker_answered &e)
 {
     if (t.n.runs.count(e.run) == 0) {
         return;  // already cancelled
     }
-    cancel_children(t, t.n.runs.at(e.run));
-    active_run run = forget_run(t, e.run);
+    cancel_child_calls(t, t.n.runs.at(e.run));
+    active_run run = erase_run(t, e.run);
     --t.n.slots_used;
     if (e.end == worker_end::answered) {
         learn_run_time(t.n.times, run.call.operation, t.now - run.started_at.value_or(t.now));
@@ -316,17 +318,17 @@
     note_latency(t.n.latencies.run, t.now - *run.started_at);
     note_event(t.n.events, t.now, event_kind::run_finished, run.call.request_id,
                t.n.settings.node.instance, std::to_string(e.status));
-    reply_to(t, run.origin, reply_of(run, e, t.n.settings.node.service), run.touched);
+    reply_to(t, run.origin, make_reply(run, e, t.n.settings.node.service), run.touched);
     start_queued(t);
 }
 
-void expire_runs(turn &t)
+void expire_runs(step_context &t)
 {
     while (t.n.rules.cancel_below && !t.n.run_deadlines.empty() &&
            t.n.run_deadlines.begin()->first <= t.now) {
         run_ref id = t.n.run_deadlines.begin()->second;
         std::size_t open_calls = t.n.runs.at(id).children.size();
-        active_run run = break_off(t, id);
+        active_run run = cancel_run(t, id);
         log_expired(t, run, open_calls);
         wire::reply_message reply;
         reply.correlation = run.call.correlation;
--- a/gullstall/src/node/step.cpp
+++ b/gullstall/src/node/step.cpp
@@ -4,9 +4,9 @@
 
 namespace {
 
-using internal::turn;
+using internal::step_context;
 
-void on_frame(turn &t, wire::frame_message &frame)
+void on_frame(step_context &t, wire::frame_message &frame)
 {
     merge_clock(t.n.events, frame.clock, t.now);
     switch (frame.payload.type) {
@@ -25,7 +25,7 @@
     internal::on_control_frame(t, frame);
 }
 
-void on_tick(turn &t)
+void on_tick(step_context &t)
 {
     internal::on_level_tick(t);
     internal::expire_calls(t);
@@ -36,7 +36,7 @@
 
 struct event_visitor
 {
-    turn &t;
+    step_context &t;
 
     void operator()(call_arrived &e) const
     {
@@ -136,7 +136,7 @@
 actions step(node &it, time_point now, event what)
 {
     actions out;
-    turn t{it, now, out};
+    step_context t{it, now, out};
     internal::on_step_time(t);
     std::visit(event_visitor{t}, what);
     internal::finish_stop(t);
--- a/gullstall/src/node/suspect_control.cpp
+++ b/gullstall/src/node/suspect_control.cpp
@@ -8,7 +8,7 @@
 
 /// \returns whether another member of the zone of \a instance is alive, so that
 /// \a instance has failed rather than been cut off with its zone
-bool zone_lives(const node &n, const std::string &instance)
+bool has_live_zone_member(const node &n, const std::string &instance)
 {
     auto gone = n.members.members.find(instance);
     if (gone == n.members.members.end()) {
@@ -21,16 +21,16 @@
     });
 }
 
-void broadcast(turn &t, const wire::suspect_news_message &news)
+void broadcast(step_context &t, const wire::suspect_news_message &news)
 {
     for (const auto &[instance, it] : t.n.members.members) {
         if (instance != t.n.settings.node.instance && it.state != wire::member_state::dead) {
-            send_to(t, instance, frame_of(wire::suspect_news_message(news)));
+            send_to(t, instance, make_frame(wire::suspect_news_message(news)));
         }
     }
 }
 
-void mark(turn &t, const std::string &request, const crash &what)
+void mark_suspect(step_context &t, const std::string &request, const crash &what)
 {
     if (note_suspect(t.n.suspects, request, what, t.now)) {
         tell_suspect(t.n.suspects, request, what);
@@ -54,20 +54,20 @@
            std::to_string(hash_text(body));
 }
 
-bool refuses_suspect(turn &t, wire::call_message &request)
+bool is_refused_suspect(step_context &t, wire::call_message &request)
 {
     std::size_t known = crashes_of(t.n.suspects, request.suspect_id);
     request.suspicion = std::max(request.suspicion, static_cast<std::uint8_t>(known));
     return t.n.suspects.refuse_crashers && request.suspicion >= crashes_to_refuse;
 }
 
-void on_run_lost(turn &t, const active_run &run)
+void on_run_lost(step_context &t, const active_run &run)
 {
-    mark(t, run.call.suspect_id,
-         own_crash(t.n.suspects, t.n.settings.node.instance, t.n.incarnation, t.now));
+    mark_suspect(t, run.call.suspect_id,
+                 own_crash(t.n.suspects, t.n.settings.node.instance, t.n.incarnation, t.now));
 }
 
-void on_run_answered(turn &t, const active_run &run)
+void on_run_answered(step_context &t, const active_run &run)
 {
     bool was_suspect = clear_suspect(t.n.suspects, run.call.suspect_id);
     if (was_suspect || run.call.suspicion > 0) {
@@ -75,15 +75,16 @@
     }
 }
 
-void on_attempt_lost(turn &t, pending_call &call, const std::string &instance)
+void on_attempt_lost(step_context &t, pending_call &call, const std::string &instance)
 {
     auto known = t.n.members.members.find(instance);
     std::uint64_t incarnation = known == t.n.members.members.end() ? 0 : known->second.incarnation;
-    mark(t, call.request.suspect_id,
-         crash{"peer:" + instance + ":" + std::to_string(incarnation), instance, incarnation});
+    mark_suspect(
+        t, call.request.suspect_id,
+        crash{"peer:" + instance + ":" + std::to_string(incarnation), instance, incarnation});
 }
 
-void on_suspect_tick(turn &t)
+void on_suspect_tick(step_context &t)
 {
     for (const suspect_report &it : t.n.suspects.to_tell) {
         wire::suspect_news_message news;
@@ -100,11 +101,12 @@
         t.n.suspects.cleared_to_tell.clear();
         broadcast(t, news);
     }
-    judge_suspects(t.n.suspects, t.now,
-                   [&](const std::string &instance) { return zone_lives(t.n, instance); });
+    judge_suspects(t.n.suspects, t.now, [&](const std::string &instance) {
+        return has_live_zone_member(t.n, instance);
+    });
 }
 
-void on_suspect_frame(turn &t, wire::frame_message &frame)
+void on_suspect_frame(step_context &t, wire::frame_message &frame)
 {
     const auto *news = frame.payload.Assuspect_news();
     if (news == nullptr) {
@@ -119,7 +121,7 @@
     }
 }
 
-bool runs_alone(const node &n, const wire::call_message &call)
+bool requires_exclusive_worker(const node &n, const wire::call_message &call)
 {
     return n.suspects.run_alone && call.suspicion > 0;
 }
