--- a/bench/capacity.cpp
+++ b/bench/capacity.cpp
@@ -85,7 +85,7 @@
             send(to, receiver, std::move(bytes));
         }
         for (action &it : done) {
-            if (auto *ask = std::get_if<ask_platform>(&it)) {
+            if (auto *ask = std::get_if<request_platform>(&it)) {
                 answer(to, *ask);
             }
         }
@@ -244,7 +244,7 @@
         }
     }
 
-    void answer(std::size_t from, const ask_platform &asked)
+    void answer(std::size_t from, const request_platform &asked)
     {
         const auto *commit = std::get_if<table_commit>(&asked.what);
         bool writes =
--- a/bench/support/overload_experiment.hpp
+++ b/bench/support/overload_experiment.hpp
@@ -168,7 +168,7 @@
         w_.run_for(seconds(3));
     }
 
-    test::world &world()
+    test::simulation &world()
     {
         return w_;
     }
@@ -312,7 +312,7 @@
     {
         w_.after(site_.client_delay, [this, it = std::move(it)]() mutable {
             const std::string &entry = entries_[draw_below(random_, entries_.size())];
-            caller_call call{it.kind->service, it.kind->operation, it.id, "", "", {}, {}};
+            call_request call{it.kind->service, it.kind->operation, it.id, "", "", {}, {}};
             call_ref id = w_.call(entry, std::move(call));
             requests_.emplace(id, std::move(it));
         });
@@ -406,13 +406,13 @@
             return;
         }
         std::size_t slash = next->second.find('/');
-        call_ref id = w_.call(key.first, caller_call{next->second.substr(0, slash),
-                                                     next->second.substr(slash + 1),
-                                                     "",
-                                                     "",
-                                                     it->second.context,
-                                                     {},
-                                                     {}});
+        call_ref id = w_.call(key.first, call_request{next->second.substr(0, slash),
+                                                      next->second.substr(slash + 1),
+                                                      "",
+                                                      "",
+                                                      it->second.context,
+                                                      {},
+                                                      {}});
         children_.emplace(id, key);
     }
 
@@ -436,7 +436,7 @@
     }
 
     site_plan site_;
-    test::world w_;
+    test::simulation w_;
     random_source random_;
     test::test_publisher publisher_;
     std::vector<std::string> entries_;
--- a/bench/support/overload_runs.hpp
+++ b/bench/support/overload_runs.hpp
@@ -34,10 +34,10 @@
 {
     return experiment(site, seed, [&control](node &it) {
         it.rules = control.rules;
-        it.queue.by_priority = control.rules.by_priority;
+        it.queue.by_priority = control.rules.priority_queueing;
         if (control.rules.level == level_rule::none) {
-            it.queue.limit = std::numeric_limits<std::size_t>::max();
-            it.queue.bound = it.queue.limit;
+            it.queue.hard_limit = std::numeric_limits<std::size_t>::max();
+            it.queue.soft_limit = it.queue.hard_limit;
         }
     });
 }
--- a/bench/support/route_experiment.hpp
+++ b/bench/support/route_experiment.hpp
@@ -150,7 +150,7 @@
             ++out.failed;
             return;
         }
-        note_sent(routers_[at], *chosen);
+        record_sent(routers_[at], *chosen);
         route_worker &to = worker(*chosen);
         bool far = to.zone != zones_[at];
         out.far += far ? 1 : 0;
@@ -161,7 +161,7 @@
             if (!*done) {
                 *done = true;
                 ++out.failed;
-                note_answered(routers_[at], name, patience);
+                record_answer(routers_[at], name, patience);
             }
         });
         after(hop, [this, at, name = *chosen, done, sent, hop, &out] {
@@ -180,7 +180,7 @@
             after(hop, [this, at, name, done, &out] {
                 *done = true;
                 ++out.failed;
-                note_refused(routers_[at], name, now_);
+                record_refusal(routers_[at], name, now_);
             });
             return;
         }
@@ -196,7 +196,7 @@
                         return;
                     }
                     *done = true;
-                    note_answered(routers_[at], name, now_ - sent);
+                    record_answer(routers_[at], name, now_ - sent);
                     out.latencies_ms.push_back(static_cast<double>((now_ - sent).count()) / 1e3);
                 });
             });
--- a/gullstall/node.hpp
+++ b/gullstall/node.hpp
@@ -10,7 +10,7 @@
 ///    answers of the table and the object store, worker_announced when the
 ///    worker is up, and tick at least every tick_interval.
 /// 3. Carry out the actions in order: deliver send_frame to the named node as
-///    frame_arrived, answer ask_platform by platform_answered with the same
+///    frame_arrived, answer request_platform by platform_answered with the same
 ///    reference and run_on_worker by worker_answered. answer_call is the only,
 ///    final answer to the call with that reference.
 /// 4. A node loads its first bundle from the platform: answer the conditional
--- a/gullstall/src/caller/repeat.cpp
+++ b/gullstall/src/caller/repeat.cpp
@@ -20,7 +20,7 @@
     }
 }
 
-bool may_repeat(const caller_call &request, bool idempotent, const caller_answer &answer)
+bool may_repeat(const call_request &request, bool idempotent, const caller_answer &answer)
 {
     if (answer.outcome == wire::outcome::ran || is_final(answer.refusal)) {
         return false;
@@ -30,7 +30,7 @@
 
 }  // namespace
 
-caller_answer answer_without_reply(const caller_call &request, bool sent)
+caller_answer answer_without_reply(const call_request &request, bool sent)
 {
     caller_answer out{};
     out.outcome = sent ? wire::outcome::unknown : wire::outcome::not_run;
@@ -41,7 +41,7 @@
 }
 
 repeat_plan plan_repeat(const repeat_policy &policy, repeat_state &state,
-                        const caller_call &request, bool idempotent, caller_answer &answer,
+                        const call_request &request, bool idempotent, caller_answer &answer,
                         duration spent)
 {
     ++state.tries;
--- a/gullstall/src/caller/repeat.hpp
+++ b/gullstall/src/caller/repeat.hpp
@@ -45,7 +45,7 @@
 
 /// \returns the answer that a caller notes for a try that brought none: nobody
 /// knows whether the call ran, unless no byte of it left the caller
-caller_answer answer_without_reply(const caller_call &request, bool sent);
+caller_answer answer_without_reply(const call_request &request, bool sent);
 
 /// Decides after a try whether the request is sent again. It never comes back
 /// before the time that the answer advises, never repeats what cannot be
@@ -56,7 +56,7 @@
 /// \param spent since the first try
 /// \see answer_without_reply
 repeat_plan plan_repeat(const repeat_policy &policy, repeat_state &state,
-                        const caller_call &request, bool idempotent, caller_answer &answer,
+                        const call_request &request, bool idempotent, caller_answer &answer,
                         duration spent);
 
 }  // namespace gullstall
--- a/gullstall/src/edge/chain_store.hpp
+++ b/gullstall/src/edge/chain_store.hpp
@@ -24,7 +24,7 @@
 struct chain_store
 {
     std::string prefix;  ///< key prefix of all rows
-    ask_store call;
+    store_call call;
     chain_row_format format;
     std::function<void(const std::string &, const mesh::calls_per_run &)> on_chain;
     std::function<void(const mesh::write_line &)> log;
--- a/gullstall/src/edge/http_edge.cpp
+++ b/gullstall/src/edge/http_edge.cpp
@@ -80,7 +80,7 @@
     }
 }
 
-void http_edge::answer(call_ref id, edge_answer &&response)
+void http_edge::respond(call_ref id, edge_answer &&response)
 {
     auto found = pending_.find(id);
     if (found == pending_.end()) {
--- a/gullstall/src/edge/http_edge.hpp
+++ b/gullstall/src/edge/http_edge.hpp
@@ -51,7 +51,7 @@
 /// Callbacks of an http_edge.
 struct edge_handlers
 {
-    /// Called for each request, which is to be answered through http_edge::answer().
+    /// Called for each request, which is to be answered through http_edge::respond().
     std::function<void(call_ref, edge_request &&)> on_request;
     /// Called when the client of an unanswered request has disconnected.
     std::function<void(call_ref)> on_abandoned;
@@ -69,7 +69,7 @@
               edge_limits limits, edge_handlers handlers);
 
     /// Sends the response to a request. Does nothing when the client has disconnected.
-    void answer(call_ref id, edge_answer &&response);
+    void respond(call_ref id, edge_answer &&response);
 
     void set_limits(const edge_limits &limits);
 
--- a/gullstall/src/edge/mesh_daemon.cpp
+++ b/gullstall/src/edge/mesh_daemon.cpp
@@ -49,8 +49,8 @@
 }  // namespace
 
 mesh_daemon::mesh_daemon(asio::io_context &io, const mesh::mesh_settings &settings,
-                         platform_dialect dialect, std::uint64_t incarnation, std::uint64_t seed,
-                         const mesh::mesh_switches &switches)
+                         platform_bindings dialect, std::uint64_t incarnation, std::uint64_t seed,
+                         const mesh::mesh_features &features)
     : io_(io),
       settings_(settings),
       dialect_(std::move(dialect)),
@@ -67,41 +67,43 @@
                                      "# TYPE gullstall_log_lines_dropped_total counter\n"
                                      "gullstall_log_lines_dropped_total " +
                                      std::to_string(log_.dropped()) + "\n";
-                                 metrics_.answer(id, edge_answer{200,
-                                                                 "OK",
-                                                                 "Content-Type: text/plain\r\n",
-                                                                 {text.begin(), text.end()}});
+                                 metrics_.respond(id, edge_answer{200,
+                                                                  "OK",
+                                                                  "Content-Type: text/plain\r\n",
+                                                                  {text.begin(), text.end()}});
                              },
                              [](call_ref) {}}),
       upstream_(io, upstream_endpoint(settings), dialect_.names,
                 [this](run_ref id, mesh::run_result &&result) {
-                    step([&](mesh_turn &t) { take_run_result(t, id, std::move(result)); });
+                    step([&](mesh_turn &t) { handle_run_result(t, id, std::move(result)); });
                 }),
-      peers_(
-          io, listen_endpoint(settings.listen.peers),
-          peer_link_handlers{
-              [this] { return own_hello(node_, now()); },
-              [this](const std::string &node) { step([&](mesh_turn &t) { link_node(t, node); }); },
-              [this](const std::string &node, const std::string &why,
-                     const std::vector<std::uint64_t> &unsent) {
-                  log(write_line{write_line::severity::warning,
-                                 "members",
-                                 "node-lost",
-                                 {{"peer", node}, {"why", why}}});
-                  step([&](mesh_turn &t) { lose_node(t, node, unsent); });
-              },
-              [this](const std::string &node, mesh_wire::frame_message &&frame) {
-                  on_node_frame(node, std::move(frame));
-              },
-              [this](mesh::link_ref link, mesh_wire::frame_message &&frame) {
-                  on_link_frame(link, std::move(frame));
-              },
-              [this](mesh::link_ref link) { step([&](mesh_turn &t) { lose_link(t, link); }); }},
-          switches.packed_frames),
+      peers_(io, listen_endpoint(settings.listen.peers),
+             peer_link_handlers{[this] { return own_hello(node_, now()); },
+                                [this](const std::string &node) {
+                                    step([&](mesh_turn &t) { handle_node_connected(t, node); });
+                                },
+                                [this](const std::string &node, const std::string &why,
+                                       const std::vector<std::uint64_t> &unsent) {
+                                    log(write_line{write_line::severity::warning,
+                                                   "members",
+                                                   "node-lost",
+                                                   {{"peer", node}, {"why", why}}});
+                                    step([&](mesh_turn &t) { handle_node_lost(t, node, unsent); });
+                                },
+                                [this](const std::string &node, mesh_wire::frame_message &&frame) {
+                                    on_node_frame(node, std::move(frame));
+                                },
+                                [this](mesh::link_ref link, mesh_wire::frame_message &&frame) {
+                                    on_link_frame(link, std::move(frame));
+                                },
+                                [this](mesh::link_ref link) {
+                                    step([&](mesh_turn &t) { handle_link_closed(t, link); });
+                                }},
+             features.packed_frames),
       expiry_timer_(io),
       tick_timer_(io)
 {
-    node_.on = switches;
+    node_.features = features;
     schedule_tick();
 }
 
@@ -135,7 +137,7 @@
                 upstream_.discard_connections();
             } else if constexpr (std::is_same_v<kind, mesh::connect_node>) {
                 peers_.connect(it.address);
-            } else if constexpr (std::is_same_v<kind, mesh::keep_chain>) {
+            } else if constexpr (std::is_same_v<kind, mesh::store_chain>) {
                 if (save_chain_) {
                     save_chain_(std::move(it));
                 }
@@ -162,7 +164,7 @@
         reply.correlation = correlation;
         reply.outcome = mesh_wire::outcome::not_started;
         reply.reason = mesh_wire::reason::unreachable;
-        step([&](mesh_turn &t) { take_reply(t, node, reply); });
+        step([&](mesh_turn &t) { handle_reply(t, node, reply); });
     });
 }
 
@@ -180,7 +182,7 @@
         request.time_left = milliseconds(left_ms);
     }
     if (request.request_id.empty()) {
-        callers_.answer(id, http_error(400));
+        callers_.respond(id, http_error(400));
         return;
     }
     // Headers that this node sets itself must not be accepted from the caller.
@@ -188,55 +190,55 @@
     it.fields.erase(dialect_.names.expected_upstream);
     it.fields.erase(dialect_.names.caller_service);
     request.header_lines = end_to_end_lines(it.fields);
-    step([&](mesh_turn &t) { take_request(t, id, std::move(request)); });
+    step([&](mesh_turn &t) { handle_request(t, id, std::move(request)); });
 }
 
 void mesh_daemon::send_response(call_ref id, mesh::caller_answer &&answer)
 {
-    callers_.answer(id, to_http_response(std::move(answer)));
+    callers_.respond(id, to_http_response(std::move(answer)));
 }
 
 void mesh_daemon::on_node_frame(const std::string &node, mesh_wire::frame_message &&frame)
 {
     if (mesh_wire::reply_message *reply = frame.payload.Asreply()) {
-        step([&](mesh_turn &t) { take_reply(t, node, *reply); });
+        step([&](mesh_turn &t) { handle_reply(t, node, *reply); });
     } else if (const mesh_wire::node_status_message *status = frame.payload.Asnode_status()) {
-        step([&](mesh_turn &t) { take_status(t, *status); });
+        step([&](mesh_turn &t) { handle_status(t, *status); });
     } else if (const mesh_wire::chain_news_message *news = frame.payload.Aschain_news()) {
-        step([&](mesh_turn &t) { take_chain_news(t, *news); });
+        step([&](mesh_turn &t) { handle_chain_news(t, *news); });
     } else if (const mesh_wire::policy_content_message *it = frame.payload.Aspolicy_content()) {
-        policy_text(std::string(it->content.begin(), it->content.end()), "peer");
+        update_policy(std::string(it->content.begin(), it->content.end()), "peer");
     }
 }
 
 void mesh_daemon::on_link_frame(mesh::link_ref link, mesh_wire::frame_message &&frame)
 {
     if (mesh_wire::call_message *call = frame.payload.Ascall()) {
-        step([&](mesh_turn &t) { take_call(t, link, std::move(*call)); });
+        step([&](mesh_turn &t) { handle_call(t, link, std::move(*call)); });
     } else if (const mesh_wire::cancel_message *it = frame.payload.Ascancel()) {
-        step([&](mesh_turn &t) { take_cancel(t, link, it->correlation); });
+        step([&](mesh_turn &t) { handle_cancel(t, link, it->correlation); });
     } else if (const mesh_wire::hello_message *hello = frame.payload.Ashello()) {
-        step([&](mesh_turn &t) { take_hello(t, link, *hello); });
+        step([&](mesh_turn &t) { handle_hello(t, link, *hello); });
     } else if (frame.payload.Asping() != nullptr) {
-        step([&](mesh_turn &t) { take_ping(t, link); });
+        step([&](mesh_turn &t) { handle_ping(t, link); });
     } else if (frame.payload.Aspolicy_fetch() != nullptr) {
-        step([&](mesh_turn &t) { take_policy_fetch(t, link); });
+        step([&](mesh_turn &t) { handle_policy_fetch(t, link); });
     }
 }
 
 mesh::heartbeat_verdict mesh_daemon::heartbeat(const mesh::upstream_heartbeat &beat)
 {
     mesh::heartbeat_verdict verdict{};
-    step([&](mesh_turn &t) { verdict = on_heartbeat(t, beat); });
+    step([&](mesh_turn &t) { verdict = handle_heartbeat(t, beat); });
     return verdict;
 }
 
-void mesh_daemon::leave(const std::string &upstream)
+void mesh_daemon::remove_upstream(const std::string &upstream)
 {
-    step([&](mesh_turn &t) { on_leave(t, upstream, unix_ms()); });
+    step([&](mesh_turn &t) { handle_leave(t, upstream, unix_ms()); });
 }
 
-void mesh_daemon::policy_text(const std::string &text, const char *source)
+void mesh_daemon::update_policy(const std::string &text, const char *source)
 {
     result<traffic_policy> read = dialect_.read_policy(text);
     if (!succeeded(read)) {
@@ -247,7 +249,7 @@
         return;
     }
     bool taken = false;
-    step([&](mesh_turn &t) { taken = take_policy(t, value_of(std::move(read)), text, source); });
+    step([&](mesh_turn &t) { taken = apply_policy(t, value_of(std::move(read)), text, source); });
     if (taken) {
         const caller_limits &limits = node_.policy->limits;
         callers_.set_limits(edge_limits{limits.max_header_bytes, limits.max_body_bytes,
@@ -255,17 +257,17 @@
     }
 }
 
-void mesh_daemon::address(const mesh::node_address &address)
+void mesh_daemon::update_address(const mesh::node_address &address)
 {
-    step([&](mesh_turn &t) { take_address(t, address); });
+    step([&](mesh_turn &t) { handle_address(t, address); });
 }
 
-void mesh_daemon::kept_chain(const std::string &route, const mesh::calls_per_run &calls)
+void mesh_daemon::update_chain(const std::string &route, const mesh::calls_per_run &calls)
 {
-    step([&](mesh_turn &t) { take_kept_chain(t, route, calls); });
+    step([&](mesh_turn &t) { restore_chain(t, route, calls); });
 }
 
-void mesh_daemon::keep_chains(std::function<void(mesh::keep_chain &&)> keep)
+void mesh_daemon::set_chain_saver(std::function<void(mesh::store_chain &&)> keep)
 {
     save_chain_ = std::move(keep);
 }
--- a/gullstall/src/edge/mesh_daemon.hpp
+++ b/gullstall/src/edge/mesh_daemon.hpp
@@ -16,9 +16,9 @@
 namespace gullstall::edge {
 
 /// Platform-specific formats and names.
-struct platform_dialect
+struct platform_bindings
 {
-    field_names names;
+    header_names names;
     /// Parses the operator's policy in the format of the platform's store.
     std::function<result<traffic_policy>(std::string_view)> read_policy;
 };
@@ -31,22 +31,22 @@
 public:
     /// Throws boost::system::system_error when a listen address can't be bound.
     mesh_daemon(boost::asio::io_context &io, const mesh::mesh_settings &settings,
-                platform_dialect dialect, std::uint64_t incarnation, std::uint64_t seed,
-                const mesh::mesh_switches &switches = {});
+                platform_bindings dialect, std::uint64_t incarnation, std::uint64_t seed,
+                const mesh::mesh_features &features = {});
 
     /// Handles a heartbeat of the local upstream.
     mesh::heartbeat_verdict heartbeat(const mesh::upstream_heartbeat &beat);
-    void leave(const std::string &upstream);
+    void remove_upstream(const std::string &upstream);
 
     /// Updates from the platform's store: the policy, a node's address, a stored call
     /// chain.
-    void policy_text(const std::string &text, const char *source);
-    void address(const mesh::node_address &address);
-    void kept_chain(const std::string &route, const mesh::calls_per_run &calls);
+    void update_policy(const std::string &text, const char *source);
+    void update_address(const mesh::node_address &address);
+    void update_chain(const std::string &route, const mesh::calls_per_run &calls);
 
     /// Sets the function that saves call chains in the store. Without it they are not
     /// saved.
-    void keep_chains(std::function<void(mesh::keep_chain &&)> keep);
+    void set_chain_saver(std::function<void(mesh::store_chain &&)> keep);
 
     void log(const mesh::write_line &line);
 
@@ -81,9 +81,9 @@
 
     boost::asio::io_context &io_;
     mesh::mesh_settings settings_;
-    platform_dialect dialect_;
+    platform_bindings dialect_;
     mesh::mesh_node node_;
-    std::function<void(mesh::keep_chain &&)> save_chain_;
+    std::function<void(mesh::store_chain &&)> save_chain_;
     line_log log_;
     http_edge callers_;
     http_edge metrics_;
--- a/gullstall/src/edge/node_registration.hpp
+++ b/gullstall/src/edge/node_registration.hpp
@@ -18,7 +18,7 @@
 {
     std::string prefix;  ///< key prefix of all nodes' rows
     table_row own_row;   ///< key and value; the version is ignored
-    ask_store call;
+    store_call call;
     std::function<void(const std::vector<table_row> &)>
         on_rows;  ///< all rows, including the own one
     std::function<void(const mesh::write_line &)> log;
--- a/gullstall/src/edge/store_watch.hpp
+++ b/gullstall/src/edge/store_watch.hpp
@@ -12,7 +12,7 @@
 namespace gullstall::edge {
 
 /// Sends a request to the platform's store and awaits the response.
-using ask_store = std::function<boost::asio::awaitable<platform_answer>(platform_request)>;
+using store_call = std::function<boost::asio::awaitable<platform_answer>(platform_request)>;
 
 /// Callbacks of a watch.
 struct store_watch_handlers
@@ -27,7 +27,7 @@
 {
     std::string prefix;
     std::uint32_t wait_ms;
-    ask_store call;
+    store_call call;
     store_watch_handlers handlers;
     random_source random;
 };
--- a/gullstall/src/edge/upstream_client.cpp
+++ b/gullstall/src/edge/upstream_client.cpp
@@ -12,7 +12,7 @@
 namespace asio = boost::asio;
 
 upstream_client::upstream_client(asio::io_context &io, asio::ip::tcp::endpoint to,
-                                 field_names names, completion_handler on_complete)
+                                 header_names names, completion_handler on_complete)
     : io_(io),
       endpoint_(std::move(to)),
       names_(std::move(names)),
--- a/gullstall/src/edge/upstream_client.hpp
+++ b/gullstall/src/edge/upstream_client.hpp
@@ -16,7 +16,7 @@
 
 /// Platform-specific names of the header fields that nodes, callers and upstreams
 /// exchange with a request.
-struct field_names
+struct header_names
 {
     std::string request_id;
     std::string time_left_ms;       ///< how long the sender still waits, in milliseconds
@@ -24,7 +24,7 @@
     std::string caller_service;     ///< service of the instance that issued the request
     std::string not_executed;       ///< in responses: the upstream did not run the request
 
-    bool operator==(const field_names &) const = default;
+    bool operator==(const header_names &) const = default;
 };
 
 class upstream_exchange;
@@ -36,7 +36,7 @@
     using completion_handler = std::function<void(run_ref, mesh::run_result &&)>;
 
     upstream_client(boost::asio::io_context &io, boost::asio::ip::tcp::endpoint to,
-                    field_names names, completion_handler on_complete);
+                    header_names names, completion_handler on_complete);
 
     /// Sends a request. The completion handler is called when it ends, unless cancel()
     /// is called first.
@@ -72,7 +72,7 @@
 
     boost::asio::io_context &io_;
     boost::asio::ip::tcp::endpoint endpoint_;
-    field_names names_;
+    header_names names_;
     completion_handler on_complete_;
     std::unordered_map<run_ref, std::shared_ptr<upstream_exchange>> exchanges_;
     std::vector<idle_connection> idle_;
--- a/gullstall/src/edge/upstream_exchange.cpp
+++ b/gullstall/src/edge/upstream_exchange.cpp
@@ -105,7 +105,7 @@
 void upstream_exchange::write_request()
 {
     const mesh_wire::call_message &call = order_.call;
-    const field_names &names = owner_.names_;
+    const header_names &names = owner_.names_;
     head_ = call.method + " " + call.target + " HTTP/1.1\r\n" + call.header_lines +
             names.time_left_ms + ": " + std::to_string(to_ms(order_.left)) + "\r\n" +
             names.expected_upstream + ": " + order_.upstream + "\r\n" + names.caller_service +
--- a/gullstall/src/mesh/admission.cpp
+++ b/gullstall/src/mesh/admission.cpp
@@ -49,9 +49,9 @@
 
 void refresh_plan(mesh_turn &t)
 {
-    if (t.n.plan_is_old) {
-        plan_levels(t.n.plan, *t.n.policy, t.n.on);
-        t.n.plan_is_old = false;
+    if (t.n.plan_outdated) {
+        update_admission_plan(t.n.plan, *t.n.policy, t.n.features);
+        t.n.plan_outdated = false;
     }
 }
 
@@ -75,17 +75,17 @@
 bool update_reported_calls(mesh_turn &t)
 {
     bool changed = false;
-    for (const auto &[route, samples] : t.n.chain.below) {
+    for (const auto &[route, samples] : t.n.chain.observed_by_route) {
         std::optional<calls_per_run> learned = learned_calls(t.n.chain, route);
-        if (learned && has_changed(t.n.told_calls[route], *learned)) {
-            t.n.told_calls[route] = *learned;
+        if (learned && has_changed(t.n.announced_calls[route], *learned)) {
+            t.n.announced_calls[route] = *learned;
             t.n.plan.calls[route] = *learned;
-            t.n.plan_is_old = true;
+            t.n.plan_outdated = true;
             changed = true;
         }
-        if (learned && has_changed(t.n.kept_calls[route], *learned)) {
-            t.n.kept_calls[route] = *learned;
-            t.out.emplace_back(keep_chain{route, *learned});
+        if (learned && has_changed(t.n.stored_calls[route], *learned)) {
+            t.n.stored_calls[route] = *learned;
+            t.out.emplace_back(store_chain{route, *learned});
         }
     }
     return changed;
@@ -93,25 +93,25 @@
 
 }  // namespace
 
-entry_verdict judge_at_entry(mesh_turn &t, const std::string &route, double place)
+admission_decision admit_request(mesh_turn &t, const std::string &route, double place)
 {
     refresh_plan(t);
     if (t.now - t.n.states_at >= service_states_ttl) {
-        refresh_own_view(t);
-        t.n.states = states_of_services(t.n.nodes, t.now);
+        update_own_status(t);
+        t.n.states = compute_service_states(t.n.nodes, t.now);
         t.n.states_at = t.now;
     }
-    if (t.n.on.chains_need_all && lacks_service(t.n.plan, route, t.n.states)) {
-        return entry_verdict{mesh_wire::reason::no_upstream, 0};
+    if (t.n.features.chains_need_all && needs_unavailable_service(t.n.plan, route, t.n.states)) {
+        return admission_decision{mesh_wire::reason::no_upstream, 0};
     }
-    admitted_shares shares = shares_of(t.n.plan, route, t.n.states, t.n.on);
+    admitted_shares shares = admitted_shares_for(t.n.plan, route, t.n.states, t.n.features);
     double share = admitted_share(shares);
     if (place >= share) {
-        bool has_capacity = place < shares.by_room;
-        return entry_verdict{has_capacity ? mesh_wire::reason::shed : mesh_wire::reason::overload,
-                             share};
+        bool has_capacity = place < shares.by_capacity;
+        return admission_decision{
+            has_capacity ? mesh_wire::reason::shed : mesh_wire::reason::overload, share};
     }
-    return entry_verdict{std::nullopt, share};
+    return admission_decision{std::nullopt, share};
 }
 
 void admission_tick(mesh_turn &t)
@@ -123,17 +123,17 @@
     t.n.capacity = capacity_of(t.n.gate);
     t.n.demand_parts = demand_by_weight(t.n.demand, t.n.plan.weights[t.n.upstream.latest->service]);
     double demand = total_demand(t.n.demand_parts);
-    double capacity = t.n.capacity.beside_queue;
+    double capacity = t.n.capacity.available_per_s;
     double min_change = min_reported_change * capacity;
-    bool has_moved = std::abs(demand - t.n.told_demand) > min_change ||
-                     std::abs(capacity - t.n.told_capacity) > min_change;
-    bool was_uncongested = t.n.told_demand < uncongested_fraction * t.n.told_capacity;
+    bool has_moved = std::abs(demand - t.n.announced_demand) > min_change ||
+                     std::abs(capacity - t.n.announced_capacity) > min_change;
+    bool was_uncongested = t.n.announced_demand < uncongested_fraction * t.n.announced_capacity;
     bool is_uncongested = demand < uncongested_fraction * capacity;
     if (!has_moved || (was_uncongested && is_uncongested)) {
         return;
     }
-    t.n.told_demand = demand;
-    t.n.told_capacity = capacity;
+    t.n.announced_demand = demand;
+    t.n.announced_capacity = capacity;
     t.out.emplace_back(write_line{write_line::severity::info,
                                   "serve",
                                   "demand-moved",
@@ -142,39 +142,39 @@
                                    {"running", std::to_string(t.n.gate.running)},
                                    {"waiting", std::to_string(t.n.gate.waiting.size())},
                                    {"slots", std::to_string(t.n.gate.slots)}}});
-    spread_status(t);
+    broadcast_status(t);
 }
 
-void spread_chain_news(mesh_turn &t, bool to_all, std::optional<link_ref> link)
+void broadcast_chain_news(mesh_turn &t, bool to_all, std::optional<link_ref> link)
 {
     bool changed = update_reported_calls(t);
-    if ((!changed && !to_all) || t.n.told_calls.empty()) {
+    if ((!changed && !to_all) || t.n.announced_calls.empty()) {
         return;
     }
     for (const auto &[each, clock] : t.n.links) {
         if (changed || each == link) {
-            t.out.emplace_back(send_to_link{each, mesh_frame(to_chain_news(t.n.told_calls))});
+            t.out.emplace_back(send_to_link{each, mesh_frame(to_chain_news(t.n.announced_calls))});
         }
     }
 }
 
-void take_kept_chain(mesh_turn &t, const std::string &route, const calls_per_run &calls)
+void restore_chain(mesh_turn &t, const std::string &route, const calls_per_run &calls)
 {
-    t.n.kept_calls[route] = calls;
-    if (!t.n.on.kept_chains) {
+    t.n.stored_calls[route] = calls;
+    if (!t.n.features.kept_chains) {
         return;
     }
     if (t.n.plan.calls.emplace(route, calls).second) {
-        t.n.plan_is_old = true;
+        t.n.plan_outdated = true;
     }
 }
 
-void take_chain_news(mesh_turn &t, const mesh_wire::chain_news_message &news)
+void handle_chain_news(mesh_turn &t, const mesh_wire::chain_news_message &news)
 {
     for (const auto &entry : news.entries) {
         t.n.plan.calls[entry->route][entry->child] = entry->calls_milli / milli;
     }
-    t.n.plan_is_old = true;
+    t.n.plan_outdated = true;
 }
 
 }  // namespace gullstall::mesh
--- a/gullstall/src/mesh/call_chain.cpp
+++ b/gullstall/src/mesh/call_chain.cpp
@@ -16,23 +16,24 @@
 
 }  // namespace
 
-void note_run(call_chain &it, run_ref run, const std::string &request_id, const std::string &route)
+void record_run_start(call_chain &it, run_ref run, const std::string &request_id,
+                      const std::string &route)
 {
-    it.open[request_id] = call_chain::open_run{run, route, {}};
+    it.open_runs[request_id] = call_chain::open_run{run, route, {}};
 }
 
-void note_run_end(call_chain &it, run_ref run, const std::string &request_id, bool ended_well)
+void record_run_end(call_chain &it, run_ref run, const std::string &request_id, bool ended_well)
 {
-    auto found = it.open.find(request_id);
-    if (found == it.open.end() || found->second.run != run) {
+    auto found = it.open_runs.find(request_id);
+    if (found == it.open_runs.end() || found->second.run != run) {
         return;
     }
     call_chain::open_run ended = std::move(found->second);
-    it.open.erase(found);
+    it.open_runs.erase(found);
     if (!ended_well) {
         return;
     }
-    call_chain::observed &seen = it.below[ended.route];
+    call_chain::observed &seen = it.observed_by_route[ended.route];
     seen.runs += 1;
     for (const auto &[route, calls] : ended.calls) {
         seen.calls[route] += calls;
@@ -54,22 +55,22 @@
         return std::nullopt;
     }
     auto length = static_cast<std::size_t>(std::distance(last, request_id.rend())) - 1;
-    auto found = it.open.find(request_id.substr(0, length));
-    return found == it.open.end() ? std::nullopt : std::optional(found->second.run);
+    auto found = it.open_runs.find(request_id.substr(0, length));
+    return found == it.open_runs.end() ? std::nullopt : std::optional(found->second.run);
 }
 
-void note_child(call_chain &it, const std::string &parent_id, const std::string &route)
+void record_call(call_chain &it, const std::string &parent_id, const std::string &route)
 {
-    auto found = it.open.find(parent_id);
-    if (found != it.open.end()) {
+    auto found = it.open_runs.find(parent_id);
+    if (found != it.open_runs.end()) {
         found->second.calls[route] += 1;
     }
 }
 
 std::optional<calls_per_run> learned_calls(const call_chain &it, const std::string &route)
 {
-    auto found = it.below.find(route);
-    if (found == it.below.end() || found->second.runs < min_runs) {
+    auto found = it.observed_by_route.find(route);
+    if (found == it.observed_by_route.end() || found->second.runs < min_runs) {
         return std::nullopt;
     }
     calls_per_run out;
--- a/gullstall/src/mesh/call_chain.hpp
+++ b/gullstall/src/mesh/call_chain.hpp
@@ -35,23 +35,24 @@
         std::map<std::string, double> calls;  ///< by route
     };
 
-    std::map<std::string, open_run> open;   ///< by request id
-    std::map<std::string, observed> below;  ///< by route of the runs
+    std::map<std::string, open_run> open_runs;          ///< by request id
+    std::map<std::string, observed> observed_by_route;  ///< by route of the runs
 };
 
 /// Records the start of a run.
-void note_run(call_chain &it, run_ref run, const std::string &request_id, const std::string &route);
+void record_run_start(call_chain &it, run_ref run, const std::string &request_id,
+                      const std::string &route);
 
 /// Records the end of a run. Only successful runs are counted: a failed one may have
 /// stopped at its first failing call, which would make the chain look too short just when
 /// one of its services is unavailable.
-void note_run_end(call_chain &it, run_ref run, const std::string &request_id, bool ended_well);
+void record_run_end(call_chain &it, run_ref run, const std::string &request_id, bool ended_well);
 
 /// \returns the local run that made the request with this id, if any
 std::optional<run_ref> find_parent(const call_chain &it, const std::string &request_id);
 
 /// Records a call of \a route made by the run of the request \a parent_id.
-void note_child(call_chain &it, const std::string &parent_id, const std::string &route);
+void record_call(call_chain &it, const std::string &parent_id, const std::string &route);
 
 /// \returns the mean calls of a run of \a route, if enough runs were observed
 std::optional<calls_per_run> learned_calls(const call_chain &it, const std::string &route);
--- a/gullstall/src/mesh/directory.cpp
+++ b/gullstall/src/mesh/directory.cpp
@@ -26,7 +26,7 @@
 
 bool is_silent(const node_view &it, time_point now)
 {
-    return it.asked_at && now - *it.asked_at >= probe_timeout;
+    return it.probed_at && now - *it.probed_at >= probe_timeout;
 }
 
 }  // namespace
@@ -38,13 +38,13 @@
            it.status.slots > 0;
 }
 
-double recent_failures(const node_view &it, time_point now)
+double recent_failure_rate(const node_view &it, time_point now)
 {
-    auto passed = static_cast<double>((now - it.failed_at).count());
-    return it.failures * std::exp2(-passed / failure_half_life_us);
+    auto passed = static_cast<double>((now - it.last_failure_at).count());
+    return it.failure_rate * std::exp2(-passed / failure_half_life_us);
 }
 
-bool note_address(directory &it, const node_address &address)
+bool update_address(directory &it, const node_address &address)
 {
     node_view &known = it.nodes[address.node];
     bool is_older = address.incarnation < known.address.incarnation;
@@ -53,20 +53,20 @@
     }
     if (address.incarnation > known.address.incarnation) {
         known.status = mesh_wire::node_status_message{};
-        known.sent_since = 0;
+        known.sent_since_status = 0;
     }
     known.address = address;
     return true;
 }
 
-bool note_status(directory &it, const mesh_wire::node_status_message &status, time_point now)
+bool update_status(directory &it, const mesh_wire::node_status_message &status, time_point now)
 {
     auto found = it.nodes.find(status.node);
     if (found == it.nodes.end()) {
         return false;
     }
     node_view &known = found->second;
-    known.asked_at.reset();
+    known.probed_at.reset();
     bool is_older = status.incarnation < known.status.incarnation ||
                     (status.incarnation == known.status.incarnation &&
                      status.sequence <= known.status.sequence);
@@ -75,19 +75,19 @@
     }
     known.status = status;
     known.status_at = now;
-    known.sent_since = 0;
+    known.sent_since_status = 0;
     return true;
 }
 
-void note_load(directory &it, const std::string &node, const mesh_wire::node_load_message &load,
-               time_point now)
+void update_load(directory &it, const std::string &node, const mesh_wire::node_load_message &load,
+                 time_point now)
 {
     auto found = it.nodes.find(node);
     if (found == it.nodes.end()) {
         return;
     }
     node_view &known = found->second;
-    known.asked_at.reset();
+    known.probed_at.reset();
     if (load.sequence <= known.status.sequence) {
         return;
     }
@@ -99,48 +99,50 @@
     known.status.wait_us = load.wait_us;
     known.status.shed_milli = load.shed_milli;
     known.status_at = now;
-    known.sent_since = 0;
+    known.sent_since_status = 0;
 }
 
-void note_link(directory &it, const std::string &node, bool linked)
+void update_link(directory &it, const std::string &node, bool linked)
 {
     auto found = it.nodes.find(node);
     if (found == it.nodes.end()) {
         return;
     }
     found->second.linked = linked;
-    found->second.asked_at.reset();
+    found->second.probed_at.reset();
     found->second.in_flight = linked ? found->second.in_flight : 0;
 }
 
-void note_sent(directory &it, const std::string &node)
+void record_sent_call(directory &it, const std::string &node)
 {
     node_view &known = it.nodes[node];
-    ++known.sent_since;
+    ++known.sent_since_status;
     ++known.in_flight;
 }
 
-void note_call_end(directory &it, const std::string &node, call_end end, time_point now)
+void record_call_result(directory &it, const std::string &node, call_end end, time_point now)
 {
     node_view &known = it.nodes[node];
     known.in_flight -= known.in_flight > 0 ? 1 : 0;
     if (end == call_end::failed) {
-        known.failures = recent_failures(known, now) * (1 - failure_smoothing) + failure_smoothing;
-        known.failed_at = now;
+        known.failure_rate =
+            recent_failure_rate(known, now) * (1 - failure_smoothing) + failure_smoothing;
+        known.last_failure_at = now;
         return;
     }
-    if (end == call_end::good) {
-        known.failures *= 1 - failure_smoothing;
+    if (end == call_end::succeeded) {
+        known.failure_rate *= 1 - failure_smoothing;
     }
 }
 
-std::vector<std::string> nodes_to_ask(directory &it, const std::string &own, time_point now)
+std::vector<std::string> select_nodes_to_probe(directory &it, const std::string &own,
+                                               time_point now)
 {
     std::vector<std::string> out;
     for (auto &[name, view] : it.nodes) {
         bool is_quiet = view.in_flight > 0 && now - view.status_at >= probe_delay;
-        if (name != own && view.linked && is_quiet && !view.asked_at) {
-            view.asked_at = now;
+        if (name != own && view.linked && is_quiet && !view.probed_at) {
+            view.probed_at = now;
             out.push_back(name);
         }
     }
@@ -152,8 +154,8 @@
     std::vector<silence_change> out;
     for (auto &[name, view] : it.nodes) {
         bool silent = is_silent(view, now);
-        if (silent != view.told_silent) {
-            view.told_silent = silent;
+        if (silent != view.reported_silent) {
+            view.reported_silent = silent;
             out.push_back(silence_change{name, silent, view.in_flight});
         }
     }
--- a/gullstall/src/mesh/directory.hpp
+++ b/gullstall/src/mesh/directory.hpp
@@ -32,12 +32,12 @@
     mesh_wire::node_status_message status;
     time_point status_at{};  ///< when the status was last updated
     /// When the outstanding probe was sent; unset if there is none.
-    std::optional<time_point> asked_at;
-    bool told_silent = false;      ///< state last reported by silence_changes
-    std::uint32_t sent_since = 0;  ///< calls sent since the last status
-    std::uint32_t in_flight = 0;   ///< calls from this node awaiting a reply
-    double failures = 0;           ///< moving average of the failure rate, 0 to 1
-    time_point failed_at{};        ///< time of the last failure
+    std::optional<time_point> probed_at;
+    bool reported_silent = false;         ///< state last reported by silence_changes
+    std::uint32_t sent_since_status = 0;  ///< calls sent since the last status
+    std::uint32_t in_flight = 0;          ///< calls from this node awaiting a reply
+    double failure_rate = 0;              ///< moving average of the failure rate, 0 to 1
+    time_point last_failure_at{};         ///< time of the last failure
 };
 
 /// All known nodes, this one included.
@@ -51,41 +51,42 @@
 bool is_usable(const node_view &it, const std::string &service, time_point now);
 
 /// \returns the recent failure rate of calls to the node, decaying with time
-double recent_failures(const node_view &it, time_point now);
+double recent_failure_rate(const node_view &it, time_point now);
 
 /// Records the address of a node; a later incarnation replaces an earlier one.
 /// \returns whether the directory has changed
-bool note_address(directory &it, const node_address &address);
+bool update_address(directory &it, const node_address &address);
 
 /// Applies a status announced by a node.
 /// \returns false for a status that is older than the known one or of an unknown node
-bool note_status(directory &it, const mesh_wire::node_status_message &status, time_point now);
+bool update_status(directory &it, const mesh_wire::node_status_message &status, time_point now);
 
 /// Applies the load carried by a reply of \a node.
-void note_load(directory &it, const std::string &node, const mesh_wire::node_load_message &load,
-               time_point now);
+void update_load(directory &it, const std::string &node, const mesh_wire::node_load_message &load,
+                 time_point now);
 
 /// Records whether the connection to \a node is established.
-void note_link(directory &it, const std::string &node, bool linked);
+void update_link(directory &it, const std::string &node, bool linked);
 
 /// Records a call sent to \a node.
-void note_sent(directory &it, const std::string &node);
+void record_sent_call(directory &it, const std::string &node);
 
 /// Result of a call to a node, as used for load balancing.
 enum class call_end
 {
-    good,
+    succeeded,
     refused,  ///< the node did not start it
     failed    ///< lost, interrupted or timed out
 };
 
 /// Records the result of a call to \a node.
-void note_call_end(directory &it, const std::string &node, call_end end, time_point now);
+void record_call_result(directory &it, const std::string &node, call_end end, time_point now);
 
 /// Selects the nodes to probe: those with calls in flight and no recent status. Marks
 /// them as probed.
 /// \param own name of this node
-std::vector<std::string> nodes_to_ask(directory &it, const std::string &own, time_point now);
+std::vector<std::string> select_nodes_to_probe(directory &it, const std::string &own,
+                                               time_point now);
 
 /// A node that has become unresponsive or responsive again.
 struct silence_change
--- a/gullstall/src/mesh/entry.cpp
+++ b/gullstall/src/mesh/entry.cpp
@@ -21,43 +21,44 @@
 void place_call(mesh_turn &t, call_ref id)
 {
     entry_call &call = t.n.calls.at(id);
-    refresh_own_view(t);
+    update_own_status(t);
     placement_request wanted{call.call.service, t.n.settings.node.zone, call.tried, call.route};
-    std::string node = call.placements < max_placements
-                           ? choose_node(t.n.nodes, t.n.zones, wanted, t.n.random, t.now, t.n.on)
-                           : std::string();
+    std::string node =
+        call.send_count < max_placements
+            ? choose_node(t.n.nodes, t.n.zones, wanted, t.n.random, t.now, t.n.features)
+            : std::string();
     if (node.empty()) {
         if (!wait_for_upstream(t, call)) {
             fail_call(t, id, call.last_reason);
         }
         return;
     }
-    ++call.placements;
+    ++call.send_count;
     call.tried.push_back(node);
     std::uint64_t correlation = ++t.n.last_id;
     call.current = sent_call{correlation, node, t.now};
-    t.n.sent[correlation] = id;
-    note_sent(t.n.nodes, node);
+    t.n.calls_by_correlation[correlation] = id;
+    record_sent_call(t.n.nodes, node);
     mesh_wire::call_message message = call.call;
     message.correlation = correlation;
     message.left_us = static_cast<std::uint64_t>((call.expires - t.now).count());
     message.sent_us = frame_time_us(t.now);
     message.due_us = (call.due - t.now).count();
-    message.repeat = call.call.repeat || call.handed_over > 0;
+    message.repeat = call.call.repeat || call.dispatch_count > 0;
     if (node == t.n.settings.node.name) {
-        take_call(t, own_link, std::move(message));
+        handle_call(t, local_link, std::move(message));
         return;
     }
     t.out.emplace_back(send_to_node{node, mesh_frame(std::move(message))});
 }
 
 /// \returns the retry budget of a service, accrued up to now
-repeat_budget &budget_of(mesh_turn &t, const std::string &service)
+retry_token_bucket &budget_of(mesh_turn &t, const std::string &service)
 {
-    repeat_slack slack{t.n.settings.limits.retry_slack, seconds(t.n.settings.limits.retry_window_s),
-                       t.n.nodes.nodes.size()};
-    repeat_budget &out = t.n.budgets[service];
-    accrue_slack(out, slack, t.now);
+    retry_slack slack{t.n.settings.limits.retry_slack, seconds(t.n.settings.limits.retry_window_s),
+                      t.n.nodes.nodes.size()};
+    retry_token_bucket &out = t.n.budgets[service];
+    accrue_slack_tokens(out, slack, t.now);
     return out;
 }
 
@@ -66,16 +67,16 @@
 /// \returns false if a budget does not suffice; nothing is charged then
 bool charge_retry(mesh_turn &t, const entry_call &call)
 {
-    service_runs needs = t.n.plan.needs.count(call.route) > 0
-                             ? t.n.plan.needs.at(call.route)
+    service_runs needs = t.n.plan.runs_per_request.count(call.route) > 0
+                             ? t.n.plan.runs_per_request.at(call.route)
                              : service_runs{{call.call.service, 1.0}};
     for (const auto &[service, runs] : needs) {
-        if (!can_repeat(budget_of(t, service), runs)) {
+        if (!has_retry_tokens(budget_of(t, service), runs)) {
             return false;
         }
     }
     for (const auto &[service, runs] : needs) {
-        spend_repeat(t.n.budgets[service], runs);
+        spend_retry_tokens(t.n.budgets[service], runs);
     }
     return true;
 }
@@ -85,7 +86,7 @@
 bool retry_call(mesh_turn &t, call_ref id)
 {
     entry_call &call = t.n.calls.at(id);
-    bool allowed = t.n.on.repeats && call.handed_over < call.max_attempts &&
+    bool allowed = t.n.features.repeats && call.dispatch_count < call.max_attempts &&
                    (call.call.idempotent || !call.may_have_run) && t.now < call.expires;
     if (!allowed) {
         return false;
@@ -103,7 +104,7 @@
 void cancel_send(mesh_turn &t, const sent_call &sent)
 {
     if (sent.node == t.n.settings.node.name) {
-        take_cancel(t, own_link, sent.correlation);
+        handle_cancel(t, local_link, sent.correlation);
         return;
     }
     mesh_wire::cancel_message message;
@@ -124,8 +125,8 @@
 void retry_after_error(mesh_turn &t, call_ref id, mesh_wire::reply_message &reply)
 {
     entry_call &call = t.n.calls.at(id);
-    ++call.handed_over;
-    t.n.sent.erase(call.current->correlation);
+    ++call.dispatch_count;
+    t.n.calls_by_correlation.erase(call.current->correlation);
     call.current.reset();
     call.may_have_run = true;
     call.error_answer = std::move(reply);
@@ -139,10 +140,10 @@
 void end_send(mesh_turn &t, call_ref id, outcome how, reason why, bool reached)
 {
     entry_call &call = t.n.calls.at(id);
-    t.n.sent.erase(call.current->correlation);
+    t.n.calls_by_correlation.erase(call.current->correlation);
     call.current.reset();
     call.last_reason = why;
-    call.handed_over += reached ? 1 : 0;
+    call.dispatch_count += reached ? 1 : 0;
     call.may_have_run = call.may_have_run || how == outcome::unknown;
     if (!reached) {
         place_call(t, id);
@@ -170,7 +171,7 @@
     call.root = run->second.call.root;
     call.share_milli = run->second.call.share_milli;
     entry.due = run->second.due;
-    note_child(t.n.chain, run->second.call.request_id, route);
+    record_call(t.n.chain, run->second.call.request_id, route);
 }
 
 /// \returns the sampling position of a request, uniform in [0, 1)
@@ -183,7 +184,7 @@
 
 }  // namespace
 
-void take_request(mesh_turn &t, call_ref id, caller_request &&request)
+void handle_request(mesh_turn &t, call_ref id, caller_request &&request)
 {
     if (!t.n.policy) {
         refuse_request(t, id, request, reason::no_policy);
@@ -198,25 +199,25 @@
     inherit_from_run(t, call, request, route->name);
     call.deadline = t.now + request.time_left.value_or(route->timeout);
     call.expires = std::min(call.deadline, t.now + route->timeout);
-    if (!call.call.inner && !takes_callers(t.n, t.now, call.expires)) {
+    if (!call.call.inner && !accepts_callers(t.n, t.now, call.expires)) {
         refuse_request(t, id, request, reason::stopping);
         return;
     }
     if (!call.call.inner) {
-        entry_verdict verdict =
-            judge_at_entry(t, route->name, sampling_position(request.request_id));
+        admission_decision verdict =
+            admit_request(t, route->name, sampling_position(request.request_id));
         if (verdict.refused) {
             refuse_request(t, id, request, *verdict.refused);
             return;
         }
         call.call.root = route->name;
-        call.call.share_milli = static_cast<std::uint16_t>(verdict.share * share_scale);
+        call.call.share_milli = static_cast<std::uint16_t>(verdict.admitted_share * share_scale);
     }
     call.id = id;
     call.route = route->name;
     call.call.route = route->name;
     call.max_attempts = std::max(1U, route->max_attempts);
-    call.taken_at = t.now;
+    call.received_at = t.now;
     call.call.request_id = std::move(request.request_id);
     call.call.service = choose_service(t.n.split, *route);
     call.call.caller_service = t.n.settings.node.service;
@@ -224,11 +225,11 @@
     call.call.target = std::move(request.target);
     call.call.header_lines = std::move(request.header_lines);
     call.call.body = std::move(request.body);
-    call.call.idempotent = route->repeats == repeatability::idempotent;
+    call.call.idempotent = route->request_idempotency == idempotency::idempotent;
     if (!call.call.inner) {
         call.due = t.now + route->latency_objective;
         call.call.priority = static_cast<std::uint16_t>(std::min(route->priority, max_priority));
-        earn_repeat(budget_of(t, call.call.service), t.n.settings.retry_ratio);
+        earn_retry_tokens(budget_of(t, call.call.service), t.n.settings.retry_ratio);
     }
     t.n.call_expiry.emplace(call.expires, id);
     t.n.calls.emplace(id, std::move(call));
@@ -249,37 +250,37 @@
                    "caller-left",
                    {{"request", found->second.call.request_id},
                     {"route", found->second.route},
-                    {"after_ms", std::to_string(to_ms(t.now - found->second.taken_at))}}});
-    forget_call(t, id);
+                    {"after_ms", std::to_string(to_ms(t.now - found->second.received_at))}}});
+    remove_call(t, id);
     if (current) {
-        note_call_end(t.n.nodes, current->node, call_end::refused, t.now);
+        record_call_result(t.n.nodes, current->node, call_end::refused, t.now);
         cancel_send(t, *current);
     }
 }
 
-void take_reply(mesh_turn &t, const std::string &from, mesh_wire::reply_message &reply)
+void handle_reply(mesh_turn &t, const std::string &from, mesh_wire::reply_message &reply)
 {
     if (reply.load) {
-        note_load(t.n.nodes, from, *reply.load, t.now);
+        update_load(t.n.nodes, from, *reply.load, t.now);
     }
-    auto known = t.n.sent.find(reply.correlation);
-    if (known == t.n.sent.end()) {
+    auto known = t.n.calls_by_correlation.find(reply.correlation);
+    if (known == t.n.calls_by_correlation.end()) {
         return;  // the request has already been answered
     }
     call_ref id = known->second;
     if (t.n.calls.at(id).current->node != from) {
         return;  // the correlation belongs to a call to another node
     }
-    call_end end = reply.outcome == outcome::answered      ? call_end::good
+    call_end end = reply.outcome == outcome::answered      ? call_end::succeeded
                    : reply.outcome == outcome::not_started ? call_end::refused
                                                            : call_end::failed;
-    note_call_end(t.n.nodes, from, end, t.now);
+    record_call_result(t.n.nodes, from, end, t.now);
     if (reply.outcome == outcome::answered) {
         if (is_retryable_error(t.n.calls.at(id), reply)) {
             retry_after_error(t, id, reply);
             return;
         }
-        pass_answer(t, id, reply);
+        forward_answer(t, id, reply);
         return;
     }
     end_send(t, id, reply.outcome, reply.reason, reply.handed_over);
@@ -294,13 +295,13 @@
         call.may_have_run = call.may_have_run || current.has_value();
         fail_call(t, id, reason::timed_out);
         if (current) {
-            note_call_end(t.n.nodes, current->node, call_end::failed, t.now);
+            record_call_result(t.n.nodes, current->node, call_end::failed, t.now);
             cancel_send(t, *current);
         }
     }
 }
 
-void place_waiting_calls(mesh_turn &t)
+void dispatch_waiting_calls(mesh_turn &t)
 {
     std::vector<call_ref> waiting = std::exchange(t.n.waiting_calls, {});
     for (call_ref id : waiting) {
@@ -310,28 +311,29 @@
         }
         // Nodes that refused the call may have restarted since.
         found->second.tried.clear();
-        found->second.placements = std::min(found->second.placements, max_placements - 1);
+        found->second.send_count = std::min(found->second.send_count, max_placements - 1);
         place_call(t, id);
     }
 }
 
-void lose_node(mesh_turn &t, const std::string &node, const std::vector<std::uint64_t> &unsent)
+void handle_node_lost(mesh_turn &t, const std::string &node,
+                      const std::vector<std::uint64_t> &unsent)
 {
-    note_link(t.n.nodes, node, false);
+    update_link(t.n.nodes, node, false);
     std::vector<std::uint64_t> lost;
-    for (const auto &[correlation, id] : t.n.sent) {
+    for (const auto &[correlation, id] : t.n.calls_by_correlation) {
         if (t.n.calls.at(id).current->node == node) {
             lost.push_back(correlation);
         }
     }
     std::sort(lost.begin(), lost.end());
     for (std::uint64_t correlation : lost) {
-        auto known = t.n.sent.find(correlation);
-        if (known == t.n.sent.end()) {
+        auto known = t.n.calls_by_correlation.find(correlation);
+        if (known == t.n.calls_by_correlation.end()) {
             continue;
         }
         bool left = std::find(unsent.begin(), unsent.end(), correlation) == unsent.end();
-        note_call_end(t.n.nodes, node, call_end::failed, t.now);
+        record_call_result(t.n.nodes, node, call_end::failed, t.now);
         end_send(t, known->second, left ? outcome::unknown : outcome::not_started,
                  left ? reason::connection_lost : reason::unreachable, left);
     }
@@ -342,10 +344,10 @@
     for (auto &entry : t.n.calls) {
         call_ref id = entry.first;
         entry_call &call = entry.second;
-        const traffic_route *route = route_named(*t.n.policy, call.route);
+        const traffic_route *route = find_route_by_name(*t.n.policy, call.route);
         time_point expires = call.expires;
         if (route != nullptr) {
-            expires = std::min(expires, call.taken_at + route->timeout);
+            expires = std::min(expires, call.received_at + route->timeout);
         }
         if (expires == call.expires) {
             continue;
--- a/gullstall/src/mesh/entry_answers.cpp
+++ b/gullstall/src/mesh/entry_answers.cpp
@@ -29,8 +29,8 @@
 
 duration return_time(mesh_turn &t, reason why, duration left)
 {
-    refusal it{left, t.n.on.timed_returns ? retry_delay(t, why, left) : duration{}};
-    return t.n.on.spread_returns ? draw_return_time(it, t.n.random) : latest_return_time(it);
+    refusal it{left, t.n.features.timed_returns ? retry_delay(t, why, left) : duration{}};
+    return t.n.features.spread_returns ? draw_retry_delay(it, t.n.random) : max_retry_delay(it);
 }
 
 std::uint16_t status_of(reason why, bool may_have_run)
@@ -59,9 +59,9 @@
     constexpr double min_logged_shed = 0.01;
     std::string out;
     for (const auto &[service, state] : states) {
-        if (state.level < open_level || state.shed > min_logged_shed) {
-            out += (out.empty() ? "" : " ") + service + "=" + std::to_string(state.level) + "/" +
-                   std::to_string(state.shed);
+        if (state.admission_level < unlimited_level || state.shed_share > min_logged_shed) {
+            out += (out.empty() ? "" : " ") + service + "=" +
+                   std::to_string(state.admission_level) + "/" + std::to_string(state.shed_share);
         }
     }
     return out;
@@ -69,11 +69,11 @@
 
 }  // namespace
 
-void forget_call(mesh_turn &t, call_ref id)
+void remove_call(mesh_turn &t, call_ref id)
 {
     auto found = t.n.calls.find(id);
     if (found->second.current) {
-        t.n.sent.erase(found->second.current->correlation);
+        t.n.calls_by_correlation.erase(found->second.current->correlation);
     }
     erase_expiry(t.n.call_expiry, found->second.expires, id);
     t.n.calls.erase(found);
@@ -114,7 +114,7 @@
     entry_call &call = t.n.calls.at(id);
     if (call.error_answer) {
         mesh_wire::reply_message answer = std::move(*call.error_answer);
-        pass_answer(t, id, answer);
+        forward_answer(t, id, answer);
         return;
     }
     caller_answer answer;
@@ -134,19 +134,19 @@
                     {"status", std::to_string(answer.status)},
                     {"route", call.route},
                     {"service", call.call.service},
-                    {"nodes", std::to_string(call.placements)},
+                    {"nodes", std::to_string(call.send_count)},
                     {"last_node", call.tried.empty() ? "" : call.tried.back()},
-                    {"handed_over", std::to_string(call.handed_over)},
-                    {"after_ms", std::to_string(to_ms(t.now - call.taken_at))},
+                    {"handed_over", std::to_string(call.dispatch_count)},
+                    {"after_ms", std::to_string(to_ms(t.now - call.received_at))},
                     {"left_ms", std::to_string(to_ms(call.deadline - t.now))},
                     {"load", std::to_string(service_load(t.n.nodes, call.call.service, t.now))},
                     {"policy", std::to_string(t.n.policy ? t.n.policy->version : 0)}}});
-    note_latency(t.n.latencies.call, t.now - call.taken_at);
+    note_latency(t.n.latencies.call, t.now - call.received_at);
     t.out.emplace_back(answer_caller{id, std::move(answer)});
-    forget_call(t, id);
+    remove_call(t, id);
 }
 
-void pass_answer(mesh_turn &t, call_ref id, mesh_wire::reply_message &reply)
+void forward_answer(mesh_turn &t, call_ref id, mesh_wire::reply_message &reply)
 {
     entry_call &call = t.n.calls.at(id);
     caller_answer answer;
@@ -158,7 +158,7 @@
     constexpr std::uint16_t first_error = 400;
     bool is_good = reply.status < first_error;
     count_answer(t, call.route, is_good ? "answered" : "upstream-error", "none");
-    bool is_sampled = is_good && ++t.n.counters.good_answers % answer_log_interval == 0;
+    bool is_sampled = is_good && ++t.n.counters.successful_answers % answer_log_interval == 0;
     if (!is_good || is_sampled) {
         t.out.emplace_back(
             write_line{write_line::severity::info,
@@ -169,11 +169,11 @@
                         {"status", std::to_string(reply.status)},
                         {"route", call.route},
                         {"peer", call.tried.empty() ? "" : call.tried.back()},
-                        {"after_ms", std::to_string(to_ms(t.now - call.taken_at))}}});
+                        {"after_ms", std::to_string(to_ms(t.now - call.received_at))}}});
     }
-    note_latency(t.n.latencies.call, t.now - call.taken_at);
+    note_latency(t.n.latencies.call, t.now - call.received_at);
     t.out.emplace_back(answer_caller{id, std::move(answer)});
-    forget_call(t, id);
+    remove_call(t, id);
 }
 
 }  // namespace gullstall::mesh
--- a/gullstall/src/mesh/entry_answers.hpp
+++ b/gullstall/src/mesh/entry_answers.hpp
@@ -17,14 +17,14 @@
 
 /// Lets a call made by a run wait until an upstream of its service is available. A refusal
 /// would fail the run, and a non-idempotent run cannot be retried.
-/// \returns whether the call waits; place_waiting_calls dispatches it later
+/// \returns whether the call waits; dispatch_waiting_calls dispatches it later
 bool wait_for_upstream(mesh_turn &t, entry_call &call);
 
 /// Ends a call with the response of its upstream.
-void pass_answer(mesh_turn &t, call_ref id, mesh_wire::reply_message &reply);
+void forward_answer(mesh_turn &t, call_ref id, mesh_wire::reply_message &reply);
 
 /// Removes a call from all tables.
-void forget_call(mesh_turn &t, call_ref id);
+void remove_call(mesh_turn &t, call_ref id);
 
 /// Counts a response.
 /// \param kind answered, refused, failed, abandoned or upstream-error
--- a/gullstall/src/mesh/gate_demand.cpp
+++ b/gullstall/src/mesh/gate_demand.cpp
@@ -41,9 +41,9 @@
 
 }  // namespace
 
-void note_arrival(gate_demand &it, const std::string &root, double share)
+void record_arrival(gate_demand &it, const std::string &root, double share)
 {
-    it.by_root[root].in_window += 1 / std::max(share, least_share);
+    it.by_root[root].in_window += 1 / std::max(share, min_admitted_share);
 }
 
 bool update_gate_demand(gate_demand &it, time_point now)
@@ -79,14 +79,14 @@
 
 gate_capacity capacity_of(const run_gate &it)
 {
-    if (it.run_us <= 0) {
+    if (it.mean_run_us <= 0) {
         return gate_capacity{};
     }
     constexpr double us_per_s = 1e6;
-    double full = it.slots * us_per_s / it.run_us;
+    double full = it.slots * us_per_s / it.mean_run_us;
     double after_drain = full - static_cast<double>(it.waiting.size()) / drain_time_s;
     // Calls that the upstream sheds occupy no slot.
-    double attempts_per_run = 1 / (1 - std::min(it.shed, max_shed_share));
+    double attempts_per_run = 1 / (1 - std::min(it.shed_share, max_shed_share));
     return gate_capacity{full * attempts_per_run,
                          std::max(after_drain, full * min_capacity_fraction) * attempts_per_run};
 }
--- a/gullstall/src/mesh/gate_demand.hpp
+++ b/gullstall/src/mesh/gate_demand.hpp
@@ -15,7 +15,7 @@
 /// Minimum share of a route's requests that is admitted, so that the gates still see
 /// enough requests to measure the demand: with one in fifty, a gate sees about ten of
 /// 500 requests per second.
-constexpr double least_share = 0.02;
+constexpr double min_admitted_share = 0.02;
 
 /// Estimate of the demand on an upstream if no request was refused, by the route at
 /// which the requests entered. Each call carries the share of its route's requests that
@@ -38,7 +38,7 @@
 /// Records the arrival of a call.
 /// \param root route of the caller's request that the call belongs to
 /// \param share admitted share of the requests of \a root, above 0
-void note_arrival(gate_demand &it, const std::string &root, double share);
+void record_arrival(gate_demand &it, const std::string &root, double share);
 
 /// Ends the current window if its time is over.
 /// \returns whether the averages were updated
@@ -54,8 +54,8 @@
 /// completed a run yet.
 struct gate_capacity
 {
-    double full = 0;
-    double beside_queue = 0;  ///< full, reduced by the rate needed to drain the queue
+    double max_per_s = 0;
+    double available_per_s = 0;  ///< full, reduced by the rate needed to drain the queue
 
     bool operator==(const gate_capacity &) const = default;
 };
--- a/gullstall/src/mesh/members.cpp
+++ b/gullstall/src/mesh/members.cpp
@@ -35,8 +35,8 @@
     result<endpoint> peers = parse_endpoint(settings.listen.peers);
     node_address self{settings.node.name, settings.node.zone,
                       succeeded(peers) ? value_of(peers) : endpoint{}, incarnation};
-    note_address(out.nodes, self);
-    note_link(out.nodes, settings.node.name, true);
+    update_address(out.nodes, self);
+    update_link(out.nodes, settings.node.name, true);
     // A random start keeps correlations distinct from those of an earlier process.
     out.last_id = out.random() >> 16U;
     return out;
@@ -56,7 +56,7 @@
         out.upstream = t.n.upstream.latest->upstream;
         out.state = t.n.upstream.latest->state;
     }
-    if (!serves(t.n, t.now) && out.state == mesh_wire::upstream_state::ready) {
+    if (!accepts_runs(t.n, t.now) && out.state == mesh_wire::upstream_state::ready) {
         out.state = mesh_wire::upstream_state::absent;
     }
     mesh_wire::node_load_message load = own_load(t.n);
@@ -67,8 +67,8 @@
     out.run_time_us = load.run_time_us;
     out.wait_us = load.wait_us;
     out.shed_milli = load.shed_milli;
-    out.capacity_per_s = static_cast<std::uint32_t>(t.n.capacity.beside_queue);
-    out.full_per_s = static_cast<std::uint32_t>(t.n.capacity.full);
+    out.capacity_per_s = static_cast<std::uint32_t>(t.n.capacity.available_per_s);
+    out.full_per_s = static_cast<std::uint32_t>(t.n.capacity.max_per_s);
     out.demand = t.n.demand_parts;
     return out;
 }
@@ -81,9 +81,9 @@
     out.slots = n.gate.slots;
     out.running = n.gate.running;
     out.waiting = static_cast<std::uint32_t>(n.gate.waiting.size());
-    out.run_time_us = static_cast<std::uint32_t>(n.gate.run_us);
+    out.run_time_us = static_cast<std::uint32_t>(n.gate.mean_run_us);
     out.wait_us = static_cast<std::uint32_t>(expected_wait(n.gate, n.gate.waiting.size()).count());
-    out.shed_milli = static_cast<std::uint16_t>(n.gate.shed * milli);
+    out.shed_milli = static_cast<std::uint16_t>(n.gate.shed_share * milli);
     return out;
 }
 
@@ -100,22 +100,22 @@
     return out;
 }
 
-void refresh_own_view(mesh_turn &t)
+void update_own_status(mesh_turn &t)
 {
-    note_status(t.n.nodes, own_status(t), t.now);
+    update_status(t.n.nodes, own_status(t), t.now);
 }
 
-void spread_status(mesh_turn &t)
+void broadcast_status(mesh_turn &t)
 {
-    t.n.status_spread_at = t.now;
+    t.n.status_sent_at = t.now;
     for (const auto &[link, clock] : t.n.links) {
         t.out.emplace_back(send_to_link{link, mesh_frame(own_status(t))});
     }
 }
 
-void take_address(mesh_turn &t, const node_address &address)
+void handle_address(mesh_turn &t, const node_address &address)
 {
-    if (address.node == t.n.settings.node.name || !note_address(t.n.nodes, address)) {
+    if (address.node == t.n.settings.node.name || !update_address(t.n.nodes, address)) {
         return;
     }
     t.out.emplace_back(write_line{write_line::severity::info,
@@ -128,26 +128,26 @@
     t.out.emplace_back(connect_node{address});
 }
 
-void take_hello(mesh_turn &t, link_ref link, const mesh_wire::hello_message &hello)
+void handle_hello(mesh_turn &t, link_ref link, const mesh_wire::hello_message &hello)
 {
     link_clock &clock = t.n.links[link];
     clock.node = hello.node;
     clock.known = true;
-    clock.least_offset_us =
+    clock.min_offset_us =
         static_cast<std::int64_t>(frame_time_us(t.now)) - static_cast<std::int64_t>(hello.sent_us);
-    take_address(t, node_address{hello.node, hello.zone, endpoint{hello.address, hello.port},
-                                 hello.incarnation});
+    handle_address(t, node_address{hello.node, hello.zone, endpoint{hello.address, hello.port},
+                                   hello.incarnation});
     t.out.emplace_back(send_to_link{link, mesh_frame(own_status(t))});
-    spread_chain_news(t, true, link);
+    broadcast_chain_news(t, true, link);
 }
 
-void take_status(mesh_turn &t, const mesh_wire::node_status_message &status)
+void handle_status(mesh_turn &t, const mesh_wire::node_status_message &status)
 {
     auto before = t.n.nodes.nodes.find(status.node);
     bool was_known = before != t.n.nodes.nodes.end();
     mesh_wire::upstream_state state =
         was_known ? before->second.status.state : mesh_wire::upstream_state::absent;
-    if (!note_status(t.n.nodes, status, t.now)) {
+    if (!update_status(t.n.nodes, status, t.now)) {
         return;
     }
     if (status.state != state) {
@@ -159,24 +159,24 @@
                                        {"upstream", status.upstream},
                                        {"state", mesh_wire::EnumNameupstream_state(status.state)},
                                        {"sequence", std::to_string(status.sequence)}}});
-        place_waiting_calls(t);
+        dispatch_waiting_calls(t);
     }
     std::uint64_t own = t.n.policy ? t.n.policy->version : 0;
     bool is_newer = status.policy_version > own &&
                     (!t.n.newer_policy || status.policy_version > t.n.newer_policy->version);
     if (is_newer) {
-        t.n.newer_policy = mesh_node::policy_news{status.policy_version, status.node, t.now};
+        t.n.newer_policy = mesh_node::announced_policy{status.policy_version, status.node, t.now};
     }
 }
 
-void link_node(mesh_turn &t, const std::string &node)
+void handle_node_connected(mesh_turn &t, const std::string &node)
 {
-    note_link(t.n.nodes, node, true);
+    update_link(t.n.nodes, node, true);
     t.out.emplace_back(
         write_line{write_line::severity::info, "members", "node-connected", {{"peer", node}}});
 }
 
-bool take_policy(mesh_turn &t, traffic_policy policy, std::string text, const char *source)
+bool apply_policy(mesh_turn &t, traffic_policy policy, std::string text, const char *source)
 {
     std::uint64_t before = t.n.policy ? t.n.policy->version : 0;
     bool is_newer = !t.n.policy || policy.version > before;
@@ -196,12 +196,12 @@
     if (t.n.newer_policy && t.n.newer_policy->version <= t.n.policy->version) {
         t.n.newer_policy.reset();
     }
-    t.n.plan_is_old = true;
+    t.n.plan_outdated = true;
     apply_timeouts(t);
     return true;
 }
 
-void take_policy_fetch(mesh_turn &t, link_ref link)
+void handle_policy_fetch(mesh_turn &t, link_ref link)
 {
     if (!t.n.policy) {
         return;
@@ -212,7 +212,7 @@
     t.out.emplace_back(send_to_link{link, mesh_frame(std::move(message))});
 }
 
-void take_ping(mesh_turn &t, link_ref link)
+void handle_ping(mesh_turn &t, link_ref link)
 {
     t.out.emplace_back(send_to_link{link, mesh_frame(own_status(t))});
 }
@@ -221,10 +221,11 @@
 
 void ask_quiet_nodes(mesh_turn &t)
 {
-    if (!t.n.on.ask_quiet_nodes) {
+    if (!t.n.features.ask_quiet_nodes) {
         return;
     }
-    for (const std::string &node : nodes_to_ask(t.n.nodes, t.n.settings.node.name, t.now)) {
+    for (const std::string &node :
+         select_nodes_to_probe(t.n.nodes, t.n.settings.node.name, t.now)) {
         mesh_wire::ping_message ping;
         ping.sent_us = frame_time_us(t.now);
         t.out.emplace_back(send_to_node{node, mesh_frame(ping)});
@@ -248,16 +249,16 @@
 {
     ask_quiet_nodes(t);
     log_silence_changes(t);
-    if (t.n.policy && t.n.on.zone_plan) {
-        t.n.zones = plan_zones(*t.n.policy, t.n.plan.calls, zones_of_services(t.n.nodes, t.now));
+    if (t.n.policy && t.n.features.zone_plan) {
+        t.n.zones = make_zone_plan(*t.n.policy, t.n.plan.calls, zones_by_service(t.n.nodes, t.now));
     }
-    if (t.now - t.n.status_spread_at >= status_interval) {
-        spread_status(t);
-        spread_chain_news(t, false, std::nullopt);
+    if (t.now - t.n.status_sent_at >= status_interval) {
+        broadcast_status(t);
+        broadcast_chain_news(t, false, std::nullopt);
     }
     admission_tick(t);
     stop_tick(t);
-    place_waiting_calls(t);
+    dispatch_waiting_calls(t);
     if (t.n.newer_policy && t.now - t.n.newer_policy->heard_at >= policy_fetch_delay) {
         mesh_wire::policy_fetch_message message;
         message.version = t.n.newer_policy->version;
--- a/gullstall/src/mesh/mesh_actions.hpp
+++ b/gullstall/src/mesh/mesh_actions.hpp
@@ -23,7 +23,7 @@
 constexpr double share_scale = 1000;
 
 /// Pseudo-link for calls that a node sends to its local upstream.
-constexpr link_ref own_link{0};
+constexpr link_ref local_link{0};
 
 /// Message body.
 using body_bytes = std::vector<std::uint8_t>;
@@ -121,7 +121,7 @@
 };
 
 /// Persists the call rates of a route in the platform's store.
-struct keep_chain
+struct store_chain
 {
     std::string route;
     calls_per_run calls;
@@ -150,7 +150,7 @@
 
 /// Any effect that a node requests of its runtime.
 using mesh_action = std::variant<answer_caller, send_to_node, send_to_link, start_run, cancel_run,
-                                 upstream_replaced, connect_node, keep_chain, write_line>;
+                                 upstream_replaced, connect_node, store_chain, write_line>;
 
 /// Actions in execution order.
 using mesh_actions = std::vector<mesh_action>;
--- a/gullstall/src/mesh/mesh_node.hpp
+++ b/gullstall/src/mesh/mesh_node.hpp
@@ -48,25 +48,25 @@
     mesh_wire::call_message call;  ///< correlation, times and repeat flag are set per transmission
     std::string route;
     std::uint32_t max_attempts = 1;
-    time_point taken_at{};
+    time_point received_at{};
     time_point deadline{};  ///< end of the caller's wait
     time_point expires{};   ///< earlier of the caller's deadline and the route timeout
     time_point due{};       ///< end of the latency objective of the caller's request
     std::optional<sent_call> current;
     std::vector<std::string> tried;
-    std::uint32_t placements = 0;   ///< nodes the call was sent to
-    std::uint32_t handed_over = 0;  ///< upstreams that received it, or may have
+    std::uint32_t send_count = 0;      ///< nodes the call was sent to
+    std::uint32_t dispatch_count = 0;  ///< upstreams that received it, or may have
     bool may_have_run = false;
     mesh_wire::reason last_reason = mesh_wire::reason::no_upstream;
     /// Upstream error response that triggered a retry. Returned to the caller if the retry
     /// gets no response.
     std::optional<mesh_wire::reply_message> error_answer;
     /// End of the wait for an upstream of the service; only calls made by a run wait.
-    std::optional<time_point> waits_until;
+    std::optional<time_point> wait_deadline;
 };
 
 /// A call queued for, or running on, the local upstream.
-struct gate_call
+struct local_run
 {
     run_ref id{};
     link_ref link{};
@@ -85,14 +85,14 @@
 {
     std::string node;
     bool known = false;
-    std::int64_t least_offset_us = 0;  ///< minimum of arrival time minus send time
+    std::int64_t min_offset_us = 0;  ///< minimum of arrival time minus send time
 };
 
 /// Counters exported on the metrics endpoint.
 struct mesh_counters
 {
     std::map<std::string, std::uint64_t> answers;  ///< by labels in exposition format
-    std::uint64_t good_answers = 0;
+    std::uint64_t successful_answers = 0;
     std::uint64_t repeats = 0;
     std::uint64_t repeats_denied = 0;
     std::uint64_t runs_started = 0;
@@ -103,13 +103,13 @@
 struct mesh_node
 {
     mesh_settings settings;
-    mesh_switches on;
+    mesh_features features;
     std::uint64_t incarnation = 0;
     random_source random;
     time_point started_at{};
 
     /// Version of a policy that a peer has in force and this node lacks.
-    struct policy_news
+    struct announced_policy
     {
         std::uint64_t version;
         std::string node;
@@ -117,7 +117,7 @@
     };
 
     std::optional<traffic_policy> policy;
-    std::optional<policy_news> newer_policy;
+    std::optional<announced_policy> newer_policy;
     std::string policy_text;  ///< source text, for peers that lack it
     time_point policy_at{};
     directory nodes;
@@ -126,41 +126,42 @@
     gate_demand demand;
     gate_capacity capacity;                            ///< of the local upstream in the last window
     std::vector<mesh_wire::demand_part> demand_parts;  ///< in the last window
-    double told_capacity = 0;                          ///< value last announced to peers
-    double told_demand = 0;                            ///< value last announced to peers
+    double announced_capacity = 0;                     ///< value last announced to peers
+    double announced_demand = 0;                       ///< value last announced to peers
     call_chain chain;
-    service_levels plan;
-    bool plan_is_old = true;  ///< the policy or the learned call rates have changed
-    std::map<std::string, calls_per_run> told_calls;  ///< last announced, of the local upstream
-    std::map<std::string, calls_per_run> kept_calls;  ///< by route, as persisted in the store
-    std::map<std::string, service_state> states;      ///< by service, at states_at
+    admission_plan plan;
+    bool plan_outdated = true;  ///< the policy or the learned call rates have changed
+    std::map<std::string, calls_per_run>
+        announced_calls;                                ///< last announced, of the local upstream
+    std::map<std::string, calls_per_run> stored_calls;  ///< by route, as persisted in the store
+    std::map<std::string, service_state> states;        ///< by service, at states_at
     time_point states_at{};
     zone_plan zones;
     traffic_split split;
-    std::map<std::string, repeat_budget> budgets;  ///< by service
+    std::map<std::string, retry_token_bucket> budgets;  ///< by service
 
     std::unordered_map<call_ref, entry_call> calls;
-    std::unordered_map<std::uint64_t, call_ref> sent;  ///< by correlation
+    std::unordered_map<std::uint64_t, call_ref> calls_by_correlation;  ///< by correlation
     expiry_queue<call_ref> call_expiry;
     std::vector<call_ref> waiting_calls;  ///< may contain ended calls
-    std::unordered_map<run_ref, gate_call> runs;
-    std::map<std::pair<link_ref, std::uint64_t>, run_ref> served;  ///< by correlation
+    std::unordered_map<run_ref, local_run> runs;
+    std::map<std::pair<link_ref, std::uint64_t>, run_ref> runs_by_correlation;  ///< by correlation
     expiry_queue<run_ref> run_expiry;
     std::map<link_ref, link_clock> links;  ///< opened by peers
 
     mesh_counters counters;
     node_latencies latencies;
     std::uint64_t status_sequence = 0;
-    time_point status_spread_at{};
-    time_point upstream_down_until{};  ///< back-off after a refused connection
-    bool stopping = false;             ///< shutdown was requested
+    time_point status_sent_at{};
+    time_point upstream_backoff_until{};  ///< back-off after a refused connection
+    bool stopping = false;                ///< shutdown was requested
     /// Earliest time at which the gate closes for shutdown. The upstream may outlive it.
     std::optional<time_point> gate_closes_at;
     /// End of accepting callers' requests during shutdown, unless the gate is held open:
     /// a request accepted later could not finish before the process exits.
     std::optional<time_point> entry_closes_at;
-    stop_times stop;                ///< valid while stopping
-    std::size_t least_staying = 0;  ///< other upstreams required before the gate closes
+    stop_schedule stop;                  ///< valid while stopping
+    std::size_t required_remaining = 0;  ///< other upstreams required before the gate closes
     bool gate_closed = false;
     std::uint64_t last_id = 0;
 };
@@ -180,65 +181,66 @@
 };
 
 // entry.cpp: requests accepted by this node
-void take_request(mesh_turn &t, call_ref id, caller_request &&request);
+void handle_request(mesh_turn &t, call_ref id, caller_request &&request);
 void abandon_request(mesh_turn &t, call_ref id);
-void take_reply(mesh_turn &t, const std::string &from, mesh_wire::reply_message &reply);
+void handle_reply(mesh_turn &t, const std::string &from, mesh_wire::reply_message &reply);
 void expire_calls(mesh_turn &t);
 /// Dispatches calls that wait for an upstream where one is available, and fails those
 /// whose wait has expired.
-void place_waiting_calls(mesh_turn &t);
+void dispatch_waiting_calls(mesh_turn &t);
 /// Handles the loss of the outgoing connection to \a node.
 /// \param unsent correlations of calls that were certainly not delivered
-void lose_node(mesh_turn &t, const std::string &node, const std::vector<std::uint64_t> &unsent);
+void handle_node_lost(mesh_turn &t, const std::string &node,
+                      const std::vector<std::uint64_t> &unsent);
 /// Shortens the expiry of calls in flight to the timeouts of the current policy.
 void apply_timeouts(mesh_turn &t);
 
 // admission.cpp: admission control by service level
 /// Admission decision for a request.
-struct entry_verdict
+struct admission_decision
 {
     std::optional<mesh_wire::reason> refused;  ///< unset if admitted
-    double share = 1;                          ///< admitted share of the route's requests
+    double admitted_share = 1;                 ///< admitted share of the route's requests
 };
 /// \param place sampling position of the request, uniform in [0, 1)
-entry_verdict judge_at_entry(mesh_turn &t, const std::string &route, double place);
+admission_decision admit_request(mesh_turn &t, const std::string &route, double place);
 /// Measures the demand on the local upstream and announces changes.
 void admission_tick(mesh_turn &t);
 /// Updates the learned call rates of local runs and announces them to peers.
 /// \param to_all whether to send without a change too, then only to \a link
-void spread_chain_news(mesh_turn &t, bool to_all, std::optional<link_ref> link);
+void broadcast_chain_news(mesh_turn &t, bool to_all, std::optional<link_ref> link);
 
 // serve.cpp: calls executed on the local upstream
-void take_call(mesh_turn &t, link_ref link, mesh_wire::call_message &&call);
-void take_cancel(mesh_turn &t, link_ref link, std::uint64_t correlation);
-void take_run_result(mesh_turn &t, run_ref run, run_result &&result);
+void handle_call(mesh_turn &t, link_ref link, mesh_wire::call_message &&call);
+void handle_cancel(mesh_turn &t, link_ref link, std::uint64_t correlation);
+void handle_run_result(mesh_turn &t, run_ref run, run_result &&result);
 void expire_runs(mesh_turn &t);
-void lose_link(mesh_turn &t, link_ref link);
+void handle_link_closed(mesh_turn &t, link_ref link);
 /// Stops dispatching to the local upstream for shutdown.
 void close_gate(mesh_turn &t);
 /// Dispatches queued calls while slots are free.
-void start_waiting(mesh_turn &t);
+void dispatch_queued(mesh_turn &t);
 /// Refuses all queued calls; none of them has run.
-void refuse_waiting(mesh_turn &t, mesh_wire::reason why);
+void refuse_queued(mesh_turn &t, mesh_wire::reason why);
 
 // upstream_news.cpp: state reported by the local upstream
-heartbeat_verdict on_heartbeat(mesh_turn &t, const upstream_heartbeat &beat);
-void on_leave(mesh_turn &t, const std::string &upstream, std::uint64_t unix_ms);
+heartbeat_verdict handle_heartbeat(mesh_turn &t, const upstream_heartbeat &beat);
+void handle_leave(mesh_turn &t, const std::string &upstream, std::uint64_t unix_ms);
 
 // members.cpp: peers, their state and the policy
-void take_address(mesh_turn &t, const node_address &address);
-void take_hello(mesh_turn &t, link_ref link, const mesh_wire::hello_message &hello);
-void take_status(mesh_turn &t, const mesh_wire::node_status_message &status);
-void link_node(mesh_turn &t, const std::string &node);
+void handle_address(mesh_turn &t, const node_address &address);
+void handle_hello(mesh_turn &t, link_ref link, const mesh_wire::hello_message &hello);
+void handle_status(mesh_turn &t, const mesh_wire::node_status_message &status);
+void handle_node_connected(mesh_turn &t, const std::string &node);
 /// Puts a policy in force if it is newer than the current one.
 /// \param text its source text
 /// \returns whether it was put in force
-bool take_policy(mesh_turn &t, traffic_policy policy, std::string text, const char *source);
-void take_policy_fetch(mesh_turn &t, link_ref link);
-void take_ping(mesh_turn &t, link_ref link);
-void take_chain_news(mesh_turn &t, const mesh_wire::chain_news_message &news);
+bool apply_policy(mesh_turn &t, traffic_policy policy, std::string text, const char *source);
+void handle_policy_fetch(mesh_turn &t, link_ref link);
+void handle_ping(mesh_turn &t, link_ref link);
+void handle_chain_news(mesh_turn &t, const mesh_wire::chain_news_message &news);
 /// Restores the persisted call rates of a route. Rates learned since take precedence.
-void take_kept_chain(mesh_turn &t, const std::string &route, const calls_per_run &calls);
+void restore_chain(mesh_turn &t, const std::string &route, const calls_per_run &calls);
 mesh_wire::node_load_message own_load(mesh_node &n);
 mesh_wire::node_status_message own_status(mesh_turn &t);
 mesh_wire::hello_message own_hello(const mesh_node &n, time_point now);
@@ -247,13 +249,13 @@
 /// \returns whether the node is ready: it has a policy and peers to send to
 bool is_ready(const mesh_node &n, time_point now);
 /// Sends this node's status over all incoming connections.
-void spread_status(mesh_turn &t);
+void broadcast_status(mesh_turn &t);
 /// Updates this node's own entry in the directory.
-void refresh_own_view(mesh_turn &t);
+void update_own_status(mesh_turn &t);
 /// \returns \a now in the representation used in frames
 std::uint64_t frame_time_us(time_point now);
 /// \returns whether requests may be dispatched to the local upstream
-bool serves(const mesh_node &n, time_point now);
+bool accepts_runs(const mesh_node &n, time_point now);
 
 /// Maximum interval between calls of members_tick.
 constexpr duration mesh_tick_interval = milliseconds(100);
@@ -267,7 +269,7 @@
 /// Closes the gate of a stopping node once that is due.
 void stop_tick(mesh_turn &t);
 /// \returns whether the node accepts a caller's request that expires at \a expires
-bool takes_callers(const mesh_node &n, time_point now, time_point expires);
+bool accepts_callers(const mesh_node &n, time_point now, time_point expires);
 /// \returns whether callers should use another node from now on
 bool is_entry_closed(const mesh_node &n, time_point now);
 
--- a/gullstall/src/mesh/own_upstream.cpp
+++ b/gullstall/src/mesh/own_upstream.cpp
@@ -12,52 +12,53 @@
 
 bool has_departed(const own_upstream &it, const upstream_heartbeat &beat)
 {
-    return std::any_of(it.gone.begin(), it.gone.end(), [&](const gone_upstream &gone) {
-        return gone.upstream == beat.upstream && beat.born <= gone.born;
+    return std::any_of(it.departed.begin(), it.departed.end(), [&](const departed_upstream &gone) {
+        return gone.upstream == beat.upstream && beat.started_ms <= gone.started_ms;
     });
 }
 
 bool is_outdated(const upstream_heartbeat &latest, const upstream_heartbeat &beat)
 {
-    if (beat.born != latest.born) {
-        return beat.born < latest.born;
+    if (beat.started_ms != latest.started_ms) {
+        return beat.started_ms < latest.started_ms;
     }
     return beat.upstream == latest.upstream && beat.sequence <= latest.sequence;
 }
 
 }  // namespace
 
-heartbeat_verdict take_heartbeat(own_upstream &it, const upstream_heartbeat &beat, time_point now)
+heartbeat_verdict apply_heartbeat(own_upstream &it, const upstream_heartbeat &beat, time_point now)
 {
     if (has_departed(it, beat)) {
-        return heartbeat_verdict::gone;
+        return heartbeat_verdict::departed;
     }
     if (it.latest && is_outdated(*it.latest, beat)) {
         return heartbeat_verdict::outdated;
     }
     bool was_draining = it.latest && it.latest->state == mesh_wire::upstream_state::draining &&
-                        it.latest->upstream == beat.upstream && it.latest->born == beat.born;
+                        it.latest->upstream == beat.upstream &&
+                        it.latest->started_ms == beat.started_ms;
     if (beat.state == mesh_wire::upstream_state::draining && !was_draining) {
         it.draining_since = now;
     }
     it.latest = beat;
     it.heard_at = now;
-    return heartbeat_verdict::taken;
+    return heartbeat_verdict::accepted;
 }
 
-void take_leave(own_upstream &it, const std::string &upstream, std::uint64_t unix_ms)
+void apply_leave(own_upstream &it, const std::string &upstream, std::uint64_t unix_ms)
 {
     bool is_latest = it.latest && it.latest->upstream == upstream;
-    it.gone.push_back(gone_upstream{upstream, is_latest ? it.latest->born : unix_ms});
-    if (it.gone.size() > max_departed) {
-        it.gone.pop_front();
+    it.departed.push_back(departed_upstream{upstream, is_latest ? it.latest->started_ms : unix_ms});
+    if (it.departed.size() > max_departed) {
+        it.departed.pop_front();
     }
     if (is_latest) {
         it.latest.reset();
     }
 }
 
-bool takes_work(const own_upstream &it)
+bool accepts_work(const own_upstream &it)
 {
     return it.latest && it.latest->state == mesh_wire::upstream_state::ready;
 }
--- a/gullstall/src/mesh/own_upstream.hpp
+++ b/gullstall/src/mesh/own_upstream.hpp
@@ -16,12 +16,12 @@
 {
     std::string upstream;  ///< id of the incarnation
     std::string service;
-    std::string address;         ///< address:port for requests
-    std::uint64_t born = 0;      ///< start of the incarnation, Unix milliseconds
-    std::uint64_t sequence = 0;  ///< increases with each heartbeat of an incarnation
+    std::string address;           ///< address:port for requests
+    std::uint64_t started_ms = 0;  ///< start of the incarnation, Unix milliseconds
+    std::uint64_t sequence = 0;    ///< increases with each heartbeat of an incarnation
     mesh_wire::upstream_state state = mesh_wire::upstream_state::absent;
     std::uint32_t slots = 0;
-    duration cold_for{};  ///< expected duration of slow responses after the start
+    duration warmup_time{};  ///< expected duration of slow responses after the start
 
     bool operator==(const upstream_heartbeat &) const = default;
 };
@@ -29,18 +29,18 @@
 /// Result of processing a heartbeat.
 enum class heartbeat_verdict
 {
-    taken,     ///< applied
+    accepted,  ///< applied
     outdated,  ///< older than the latest heartbeat or of an earlier incarnation
-    gone       ///< the incarnation has announced its departure
+    departed   ///< the incarnation has announced its departure
 };
 
 /// Incarnation that has departed.
-struct gone_upstream
+struct departed_upstream
 {
     std::string upstream;
-    std::uint64_t born;
+    std::uint64_t started_ms;
 
-    bool operator==(const gone_upstream &) const = default;
+    bool operator==(const departed_upstream &) const = default;
 };
 
 /// State of the local upstream, known from its heartbeats only. After a start no state is
@@ -51,20 +51,20 @@
     std::optional<upstream_heartbeat> latest;
     time_point heard_at{};
     time_point draining_since{};  ///< valid when the latest state is draining
-    std::deque<gone_upstream> gone;
+    std::deque<departed_upstream> departed;
 };
 
 /// Processes a heartbeat.
 /// \param now time of arrival
-heartbeat_verdict take_heartbeat(own_upstream &it, const upstream_heartbeat &beat, time_point now);
+heartbeat_verdict apply_heartbeat(own_upstream &it, const upstream_heartbeat &beat, time_point now);
 
 /// Records the departure of the incarnation \a upstream.
 /// \param unix_ms wall-clock time; assumed as the latest start of an incarnation without a
 /// heartbeat, so that its delayed heartbeats are ignored
-void take_leave(own_upstream &it, const std::string &upstream, std::uint64_t unix_ms);
+void apply_leave(own_upstream &it, const std::string &upstream, std::uint64_t unix_ms);
 
 /// \returns whether requests may be dispatched to the upstream
-bool takes_work(const own_upstream &it);
+bool accepts_work(const own_upstream &it);
 
 }  // namespace gullstall::mesh
 
--- a/gullstall/src/mesh/placing.cpp
+++ b/gullstall/src/mesh/placing.cpp
@@ -36,29 +36,29 @@
 
 bool is_candidate(const node_view &it, const placement_request &wanted, time_point now)
 {
-    bool is_tried =
-        std::find(wanted.tried.begin(), wanted.tried.end(), it.address.node) != wanted.tried.end();
+    bool is_tried = std::find(wanted.excluded_nodes.begin(), wanted.excluded_nodes.end(),
+                              it.address.node) != wanted.excluded_nodes.end();
     return !is_tried && is_usable(it, wanted.service, now);
 }
 
 /// \returns the utilization including one more call; above 1 calls queue
 double utilization(const node_view &it)
 {
-    return (it.status.running + it.status.waiting + it.sent_since + 1.0) / it.status.slots;
+    return (it.status.running + it.status.waiting + it.sent_since_status + 1.0) / it.status.slots;
 }
 
 /// \returns the expected response time of one more call in microseconds, weighted by the
 /// failure rate
 /// \param fallback_run_us run time assumed if none is known
 double expected_us(const node_view &it, double fallback_run_us, time_point now,
-                   const mesh_switches &on)
+                   const mesh_features &on)
 {
     double run_us = it.status.run_time_us > 0 ? it.status.run_time_us : fallback_run_us;
     // Below saturation the run time dominates; utilization adds a little, so that equal
     // upstreams share the calls. Above it the queue dominates.
     double used = utilization(it);
     double wait = std::max(0.0, used - 1) * run_us;
-    double failing = on.failure_cost ? failure_cost * recent_failures(it, now) : 0;
+    double failing = on.failure_cost ? failure_cost * recent_failure_rate(it, now) : 0;
     return (run_us * (1 + used / 2) + wait) * (1 + failing);
 }
 
@@ -69,7 +69,7 @@
 };
 
 /// Samples one of \a all; cheaper ones are more likely.
-candidate sample(const std::vector<candidate> &all, random_source &random, const mesh_switches &on)
+candidate sample(const std::vector<candidate> &all, random_source &random, const mesh_features &on)
 {
     double power = on.cost_draw ? cost_exponent : 0;
     double total = 0;
@@ -92,7 +92,8 @@
 {
     constexpr double other_zone = 1 + min_saved_crossings;
     bool is_own = node.address.zone == wanted.zone;
-    return (is_own ? 0 : other_zone) + crossings_below(plan, wanted.route, node.address.zone);
+    return (is_own ? 0 : other_zone) +
+           cross_zone_calls_below(plan, wanted.route, node.address.zone);
 }
 
 double fewest_crossings(const std::vector<const node_view *> &all, const zone_plan &plan,
@@ -109,7 +110,7 @@
 bool may_leave_zone(const candidate &near, time_point now)
 {
     return near.node == nullptr || utilization(*near.node) >= spill_utilization ||
-           recent_failures(*near.node, now) >= spill_failure_rate;
+           recent_failure_rate(*near.node, now) >= spill_failure_rate;
 }
 
 /// \returns the run time assumed of an upstream that has reported none: the shortest of
@@ -127,7 +128,7 @@
 }  // namespace
 
 std::string choose_node(const directory &it, const zone_plan &plan, const placement_request &wanted,
-                        random_source &random, time_point now, const mesh_switches &on)
+                        random_source &random, time_point now, const mesh_features &on)
 {
     std::vector<const node_view *> usable;
     for (const auto &[name, view] : it.nodes) {
--- a/gullstall/src/mesh/placing.hpp
+++ b/gullstall/src/mesh/placing.hpp
@@ -14,15 +14,15 @@
 struct placement_request
 {
     std::string service;
-    std::string zone;                ///< of the sending node
-    std::vector<std::string> tried;  ///< nodes that are excluded
-    std::string route;               ///< route of the call
+    std::string zone;                         ///< of the sending node
+    std::vector<std::string> excluded_nodes;  ///< nodes that are excluded
+    std::string route;                        ///< route of the call
 };
 
 /// Selects the node to send a call to.
 /// \returns the name of the node, empty if no usable one is known
 std::string choose_node(const directory &it, const zone_plan &plan, const placement_request &wanted,
-                        random_source &random, time_point now, const mesh_switches &on = {});
+                        random_source &random, time_point now, const mesh_features &on = {});
 
 }  // namespace gullstall::mesh
 
--- a/gullstall/src/mesh/repeat_budget.cpp
+++ b/gullstall/src/mesh/repeat_budget.cpp
@@ -15,7 +15,7 @@
 /// pay for a retry.
 constexpr double min_bucket_size = 1;
 
-void earn(repeat_budget &it, double repeats)
+void earn(retry_token_bucket &it, double repeats)
 {
     it.earned += repeats;
     it.tokens = std::min(it.tokens + repeats, std::max(it.earned, min_bucket_size));
@@ -23,27 +23,27 @@
 
 }  // namespace
 
-void earn_repeat(repeat_budget &it, double ratio)
+void earn_retry_tokens(retry_token_bucket &it, double ratio)
 {
     earn(it, token_fraction * ratio);
 }
 
-void accrue_slack(repeat_budget &it, const repeat_slack &slack, time_point now)
+void accrue_slack_tokens(retry_token_bucket &it, const retry_slack &slack, time_point now)
 {
     auto windows = static_cast<double>((now - it.accrued_at).count()) /
                    static_cast<double>(slack.window.count());
     it.accrued_at = now;
     it.earned *= std::exp(-windows);
     double window_fraction = std::min(windows, 1.0);
-    earn(it, token_fraction * slack.repeats * window_fraction / static_cast<double>(slack.nodes));
+    earn(it, token_fraction * slack.retries * window_fraction / static_cast<double>(slack.nodes));
 }
 
-bool can_repeat(const repeat_budget &it, double runs)
+bool has_retry_tokens(const retry_token_bucket &it, double runs)
 {
     return it.tokens >= runs;
 }
 
-void spend_repeat(repeat_budget &it, double runs)
+void spend_retry_tokens(retry_token_bucket &it, double runs)
 {
     it.tokens -= runs;
 }
--- a/gullstall/src/mesh/repeat_budget.hpp
+++ b/gullstall/src/mesh/repeat_budget.hpp
@@ -12,7 +12,7 @@
 /// receives itself, so each one limits its retries to a share of these. The limit applies
 /// to a time window: tokens earned before the window expire, since otherwise all nodes
 /// together would exceed the limit when many calls fail after a quiet period.
-struct repeat_budget
+struct retry_token_bucket
 {
     double tokens = 0;
     double earned = 0;  ///< tokens earned in about the last window
@@ -21,25 +21,25 @@
 
 /// Adds the tokens for one caller's request to the service.
 /// \param ratio allowed retries per request
-void earn_repeat(repeat_budget &it, double ratio);
+void earn_retry_tokens(retry_token_bucket &it, double ratio);
 
 /// Retries that are allowed in addition to the share of the requests.
-struct repeat_slack
+struct retry_slack
 {
-    std::uint32_t repeats = 0;  ///< per window, over all nodes
+    std::uint32_t retries = 0;  ///< per window, over all nodes
     duration window = seconds(10);
     std::size_t nodes = 1;  ///< nodes that share the slack
 };
 
 /// Adds this node's part of the slack for the time since the last call, and expires
 /// tokens earned before the window.
-void accrue_slack(repeat_budget &it, const repeat_slack &slack, time_point now);
+void accrue_slack_tokens(retry_token_bucket &it, const retry_slack &slack, time_point now);
 
 /// \returns whether the tokens suffice for \a runs retries
-bool can_repeat(const repeat_budget &it, double runs);
+bool has_retry_tokens(const retry_token_bucket &it, double runs);
 
 /// Takes the tokens for \a runs retries.
-void spend_repeat(repeat_budget &it, double runs);
+void spend_retry_tokens(retry_token_bucket &it, double runs);
 
 }  // namespace gullstall::mesh
 
--- a/gullstall/src/mesh/report.cpp
+++ b/gullstall/src/mesh/report.cpp
@@ -28,8 +28,8 @@
     add(out, "gullstall_calls_in_flight", "gauge", static_cast<double>(n.calls.size()));
     add(out, "gullstall_slots", "gauge", n.gate.slots);
     add(out, "gullstall_slots_in_use", "gauge", n.gate.running);
-    add(out, "gullstall_gate_capacity_per_second", "gauge", n.capacity.beside_queue);
-    add(out, "gullstall_gate_demand_per_second", "gauge", n.told_demand);
+    add(out, "gullstall_gate_capacity_per_second", "gauge", n.capacity.available_per_s);
+    add(out, "gullstall_gate_demand_per_second", "gauge", n.announced_demand);
     add(out, "gullstall_waiting", "gauge", static_cast<double>(n.gate.waiting.size()));
     add(out, "gullstall_policy_version", "gauge",
         n.policy ? static_cast<double>(n.policy->version) : 0);
--- a/gullstall/src/mesh/return_time.cpp
+++ b/gullstall/src/mesh/return_time.cpp
@@ -25,17 +25,18 @@
 
 }  // namespace
 
-duration latest_return_time(const refusal &it)
+duration max_retry_delay(const refusal &it)
 {
-    duration overload_delay = scaled(it.left, overload_delay_fraction);
-    duration max_delay = scaled(it.left, max_delay_fraction);
-    return std::max(duration{}, std::min(max_delay, std::max(overload_delay, it.until_better)));
+    duration overload_delay = scaled(it.time_left, overload_delay_fraction);
+    duration max_delay = scaled(it.time_left, max_delay_fraction);
+    return std::max(duration{},
+                    std::min(max_delay, std::max(overload_delay, it.expected_recovery)));
 }
 
-duration draw_return_time(const refusal &it, random_source &random)
+duration draw_retry_delay(const refusal &it, random_source &random)
 {
     double fraction = min_delay_fraction + (1 - min_delay_fraction) * draw_fraction(random);
-    return scaled(latest_return_time(it), fraction);
+    return scaled(max_retry_delay(it), fraction);
 }
 
 }  // namespace gullstall::mesh
--- a/gullstall/src/mesh/return_time.hpp
+++ b/gullstall/src/mesh/return_time.hpp
@@ -8,11 +8,11 @@
 /// Input for the retry time that is sent with a refusal.
 struct refusal
 {
-    duration left{};  ///< time until the caller's deadline
+    duration time_left{};  ///< time until the caller's deadline
     /// Expected time until the cause of the refusal is gone: on a node that has just
     /// started, until every upstream has had time to announce itself; where upstreams shed
     /// calls, as late as possible. 0 or less if waiting longer does not help.
-    duration until_better{};
+    duration expected_recovery{};
 
     bool operator==(const refusal &) const = default;
 };
@@ -23,10 +23,10 @@
 /// no request can be served until the upstreams have announced themselves, and where
 /// upstreams shed calls for seconds an early retry is refused again; both delay the
 /// retry.
-duration draw_return_time(const refusal &it, random_source &random);
+duration draw_retry_delay(const refusal &it, random_source &random);
 
-/// \returns the upper bound of the delays that draw_return_time returns
-duration latest_return_time(const refusal &it);
+/// \returns the upper bound of the delays that draw_retry_delay returns
+duration max_retry_delay(const refusal &it);
 
 }  // namespace gullstall::mesh
 
--- a/gullstall/src/mesh/run_gate.cpp
+++ b/gullstall/src/mesh/run_gate.cpp
@@ -32,9 +32,9 @@
 /// expires (earliest deadline first), so that a request that needs one short run does not
 /// wait behind the many calls of requests that have a second left. Calls that are already
 /// late go behind those of their class that can still be in time.
-gate_place queue_key_of(const gate_request &it, std::uint64_t arrival)
+queue_position queue_key_of(const slot_request &it, std::uint64_t arrival)
 {
-    return gate_place{2U * it.priority + (it.late ? 1 : 0), it.due, arrival};
+    return queue_position{2U * it.priority + (it.late ? 1 : 0), it.due, arrival};
 }
 
 }  // namespace
@@ -52,31 +52,32 @@
     }
     double free = it.slots > it.running ? it.slots - it.running : 0;
     double ends_needed = std::max(0.0, static_cast<double>(ahead) + 1 - free);
-    return duration(static_cast<std::int64_t>(ends_needed * it.run_us / it.slots));
+    return duration(static_cast<std::int64_t>(ends_needed * it.mean_run_us / it.slots));
 }
 
-gate_verdict enter_gate(run_gate &it, const gate_request &request)
+gate_verdict request_slot(run_gate &it, const slot_request &request)
 {
     if (it.running < it.slots && it.waiting.empty()) {
         ++it.running;
-        return gate_verdict::start;
+        return gate_verdict::granted;
     }
-    gate_place position = queue_key_of(request, it.arrivals++);
+    queue_position position = queue_key_of(request, it.arrivals++);
     auto ahead = static_cast<std::size_t>(
         std::distance(it.waiting.begin(), it.waiting.lower_bound(position)));
     duration wait = expected_wait(it, ahead);
     double fraction = request.inner ? max_nested_wait_fraction : max_wait_fraction;
-    bool exceeds_wait =
-        static_cast<double>(wait.count()) > fraction * static_cast<double>(request.left.count());
-    bool exceeds_length = request.bound_by_length && ahead >= it.slots * max_waiting_per_slot;
+    bool exceeds_wait = static_cast<double>(wait.count()) >
+                        fraction * static_cast<double>(request.time_left.count());
+    bool exceeds_length =
+        request.limited_by_queue_length && ahead >= it.slots * max_waiting_per_slot;
     if (exceeds_wait || exceeds_length) {
-        return gate_verdict::full;
+        return gate_verdict::refused;
     }
     it.waiting.emplace(position, request.run);
-    return gate_verdict::wait;
+    return gate_verdict::queued;
 }
 
-bool leave_queue(run_gate &it, run_ref run)
+bool remove_from_queue(run_gate &it, run_ref run)
 {
     auto found = std::find_if(it.waiting.begin(), it.waiting.end(),
                               [&](const auto &entry) { return entry.second == run; });
@@ -87,21 +88,22 @@
     return true;
 }
 
-void give_back_slot(run_gate &it, std::optional<duration> held)
+void release_slot(run_gate &it, std::optional<duration> held)
 {
     it.running -= it.running > 0 ? 1 : 0;
     if (held) {
         auto us = static_cast<double>(held->count());
-        it.run_us = it.run_us == 0 ? us : it.run_us + run_weight * (us - it.run_us);
+        it.mean_run_us =
+            it.mean_run_us == 0 ? us : it.mean_run_us + run_weight * (us - it.mean_run_us);
     }
 }
 
-void note_shed(run_gate &it, bool was_shed)
+void record_shed(run_gate &it, bool was_shed)
 {
-    it.shed += shed_weight * ((was_shed ? 1 : 0) - it.shed);
+    it.shed_share += shed_weight * ((was_shed ? 1 : 0) - it.shed_share);
 }
 
-std::optional<run_ref> next_run(run_gate &it)
+std::optional<run_ref> dequeue_run(run_gate &it)
 {
     if (it.running >= it.slots || it.waiting.empty()) {
         return std::nullopt;
--- a/gullstall/src/mesh/run_gate.hpp
+++ b/gullstall/src/mesh/run_gate.hpp
@@ -11,27 +11,27 @@
 namespace gullstall::mesh {
 
 /// A request for a slot of the upstream on behalf of a call.
-struct gate_request
+struct slot_request
 {
     run_ref run{};
-    std::uint16_t priority = 0;   ///< 0 is the most important
-    bool inner = false;           ///< made by a run of another upstream
-    duration left{};              ///< time until the call's deadline
-    time_point due{};             ///< when the caller's latency objective expires
-    bool late = false;            ///< the latency objective has already expired
-    bool bound_by_length = true;  ///< may be refused because of the queue length alone
-
-    bool operator==(const gate_request &) const = default;
+    std::uint16_t priority = 0;           ///< 0 is the most important
+    bool inner = false;                   ///< made by a run of another upstream
+    duration time_left{};                 ///< time until the call's deadline
+    time_point due{};                     ///< when the caller's latency objective expires
+    bool late = false;                    ///< the latency objective has already expired
+    bool limited_by_queue_length = true;  ///< may be refused because of the queue length alone
+
+    bool operator==(const slot_request &) const = default;
 };
 
 /// Position in the queue of a gate; the lowest is started first.
-struct gate_place
+struct queue_position
 {
     std::uint32_t rank = 0;
     time_point due{};
     std::uint64_t arrival = 0;
 
-    auto operator<=>(const gate_place &) const = default;
+    auto operator<=>(const queue_position &) const = default;
 };
 
 /// Limits the concurrency of an upstream: it never has more runs than slots. Further
@@ -42,18 +42,18 @@
 {
     std::uint32_t slots = 0;
     std::uint32_t running = 0;
-    double run_us = 0;  ///< moving average of the time that a run holds a slot, 0: unknown
-    std::map<gate_place, run_ref> waiting;
+    double mean_run_us = 0;  ///< moving average of the time that a run holds a slot, 0: unknown
+    std::map<queue_position, run_ref> waiting;
     std::uint64_t arrivals = 0;
-    double shed = 0;  ///< moving average of the share of calls that the upstream sheds
+    double shed_share = 0;  ///< moving average of the share of calls that the upstream sheds
 };
 
 /// Result of a request for a slot.
 enum class gate_verdict
 {
-    start,  ///< a slot was allocated
-    wait,   ///< the call is queued
-    full    ///< refused without being run: the expected wait is too long
+    granted,  ///< a slot was allocated
+    queued,   ///< the call is queued
+    refused   ///< refused without being run: the expected wait is too long
 };
 
 /// \returns the maximum number of concurrent runs on an upstream that announces
@@ -62,23 +62,23 @@
 std::uint32_t usable_slots(std::uint32_t slots);
 
 /// Requests a slot.
-gate_verdict enter_gate(run_gate &it, const gate_request &request);
+gate_verdict request_slot(run_gate &it, const slot_request &request);
 
 /// Removes a waiting call from the queue.
 /// \returns whether the call was in the queue
-bool leave_queue(run_gate &it, run_ref run);
+bool remove_from_queue(run_gate &it, run_ref run);
 
 /// Releases a slot.
 /// \param held how long the run held the slot; none if the time says nothing about the
 /// speed of the upstream
-void give_back_slot(run_gate &it, std::optional<duration> held);
+void release_slot(run_gate &it, std::optional<duration> held);
 
 /// Records whether the upstream shed a call that was sent to it.
-void note_shed(run_gate &it, bool was_shed);
+void record_shed(run_gate &it, bool was_shed);
 
 /// Allocates a slot for the first call of the queue.
 /// \returns the call to start; none if no slot is free or the queue is empty
-std::optional<run_ref> next_run(run_gate &it);
+std::optional<run_ref> dequeue_run(run_gate &it);
 
 /// \returns the expected wait for a slot of a call that has \a ahead calls before it
 duration expected_wait(const run_gate &it, std::size_t ahead);
--- a/gullstall/src/mesh/serve.cpp
+++ b/gullstall/src/mesh/serve.cpp
@@ -21,8 +21,8 @@
 
 void send_reply(mesh_turn &t, link_ref link, mesh_wire::reply_message &&reply)
 {
-    if (link == own_link) {
-        take_reply(t, t.n.settings.node.name, reply);
+    if (link == local_link) {
+        handle_reply(t, t.n.settings.node.name, reply);
         return;
     }
     reply.load = std::make_unique<mesh_wire::node_load_message>(own_load(t.n));
@@ -50,27 +50,27 @@
 }
 
 /// Removes the run from all tables without releasing its slot.
-gate_call forget_run(mesh_turn &t, run_ref id, bool ended_well = false)
+local_run forget_run(mesh_turn &t, run_ref id, bool ended_well = false)
 {
     auto found = t.n.runs.find(id);
-    gate_call run = std::move(found->second);
+    local_run run = std::move(found->second);
     t.n.runs.erase(found);
-    t.n.served.erase({run.link, run.call.correlation});
+    t.n.runs_by_correlation.erase({run.link, run.call.correlation});
     erase_expiry(t.n.run_expiry, run.expires, run.id);
     if (run.started_at) {
-        note_run_end(t.n.chain, id, run.call.request_id, ended_well);
+        record_run_end(t.n.chain, id, run.call.request_id, ended_well);
     }
     return run;
 }
 
 void dispatch_run(mesh_turn &t, run_ref id)
 {
-    gate_call &run = t.n.runs.at(id);
+    local_run &run = t.n.runs.at(id);
     run.started_at = t.now;
     erase_expiry(t.n.run_expiry, run.expires, run.id);
     run.expires = run.deadline + answer_grace;
     t.n.run_expiry.emplace(run.expires, id);
-    note_run(t.n.chain, id, run.call.request_id, run.call.route);
+    record_run_start(t.n.chain, id, run.call.request_id, run.call.route);
     ++t.n.counters.runs_started;
     note_latency(t.n.latencies.queue_wait, t.now - run.arrived_at);
     t.out.emplace_back(
@@ -94,15 +94,15 @@
         return reason::stopping;
     }
     if (!t.n.upstream.latest) {
-        return t.n.upstream.gone.empty() ? reason::no_upstream : reason::leaving;
+        return t.n.upstream.departed.empty() ? reason::no_upstream : reason::leaving;
     }
     if (t.n.upstream.latest->service != call.service) {
         return reason::other_service;
     }
-    if (!takes_work(t.n.upstream)) {
+    if (!accepts_work(t.n.upstream)) {
         return reason::leaving;
     }
-    if (t.now < t.n.upstream_down_until) {
+    if (t.now < t.n.upstream_backoff_until) {
         return reason::unreachable;
     }
     return std::nullopt;
@@ -115,22 +115,22 @@
 {
     auto left = duration(static_cast<std::int64_t>(call.left_us));
     auto known = t.n.links.find(link);
-    if (known == t.n.links.end() || !known->second.known || !t.n.on.age_of_frames) {
+    if (known == t.n.links.end() || !known->second.known || !t.n.features.age_of_frames) {
         return left;
     }
     std::int64_t offset =
         static_cast<std::int64_t>(frame_time_us(t.now)) - static_cast<std::int64_t>(call.sent_us);
-    known->second.least_offset_us = std::min(known->second.least_offset_us, offset);
-    return left - duration(offset - known->second.least_offset_us);
+    known->second.min_offset_us = std::min(known->second.min_offset_us, offset);
+    return left - duration(offset - known->second.min_offset_us);
 }
 
 /// Cancels a run whose reply is no longer awaited. A non-idempotent run that has started
 /// continues, so that it completes.
 void cancel_unawaited(mesh_turn &t, run_ref id)
 {
-    gate_call &run = t.n.runs.at(id);
+    local_run &run = t.n.runs.at(id);
     if (!run.started_at) {
-        leave_queue(t.n.gate, id);
+        remove_from_queue(t.n.gate, id);
         forget_run(t, id);
         return;
     }
@@ -140,10 +140,10 @@
     }
     t.out.emplace_back(cancel_run{id});
     forget_run(t, id);
-    give_back_slot(t.n.gate, std::nullopt);
+    release_slot(t.n.gate, std::nullopt);
 }
 
-mesh_wire::reply_message make_reply(const gate_call &run, run_result &result)
+mesh_wire::reply_message make_reply(const local_run &run, run_result &result)
 {
     mesh_wire::reply_message out;
     out.correlation = run.call.correlation;
@@ -178,20 +178,20 @@
 
 }  // namespace
 
-void start_waiting(mesh_turn &t)
+void dispatch_queued(mesh_turn &t)
 {
-    while (std::optional<run_ref> next = next_run(t.n.gate)) {
+    while (std::optional<run_ref> next = dequeue_run(t.n.gate)) {
         if (t.n.runs.at(*next).deadline - t.now >= min_time_left) {
             dispatch_run(t, *next);
             continue;
         }
-        give_back_slot(t.n.gate, std::nullopt);
-        gate_call late = forget_run(t, *next);
+        release_slot(t.n.gate, std::nullopt);
+        local_run late = forget_run(t, *next);
         refuse(t, late.link, late.call, reason::too_late);
     }
 }
 
-void refuse_waiting(mesh_turn &t, reason why)
+void refuse_queued(mesh_turn &t, reason why)
 {
     std::vector<run_ref> waiting;
     for (const auto &[rank, run] : t.n.gate.waiting) {
@@ -199,17 +199,17 @@
     }
     t.n.gate.waiting.clear();
     for (run_ref id : waiting) {
-        gate_call run = forget_run(t, id);
+        local_run run = forget_run(t, id);
         refuse(t, run.link, run.call, why);
     }
 }
 
-bool serves(const mesh_node &n, time_point now)
+bool accepts_runs(const mesh_node &n, time_point now)
 {
-    return !n.gate_closed && takes_work(n.upstream) && now >= n.upstream_down_until;
+    return !n.gate_closed && accepts_work(n.upstream) && now >= n.upstream_backoff_until;
 }
 
-void take_call(mesh_turn &t, link_ref link, mesh_wire::call_message &&call)
+void handle_call(mesh_turn &t, link_ref link, mesh_wire::call_message &&call)
 {
     duration left = time_left(t, link, call);
     if (std::optional<reason> why = refusal_reason(t, call)) {
@@ -221,23 +221,23 @@
         refuse(t, link, call, reason::too_late);
         return;
     }
-    note_arrival(t.n.demand, call.root, call.share_milli / share_scale);
+    record_arrival(t.n.demand, call.root, call.share_milli / share_scale);
     run_ref id{++t.n.last_id};
     // The transit time is deducted here too.
     time_point due = t.now + duration(call.due_us) + (left - duration(call.left_us));
-    gate_request request{id, call.priority, call.inner, left, due, due <= t.now};
-    if (!t.n.on.gate_order) {
+    slot_request request{id, call.priority, call.inner, left, due, due <= t.now};
+    if (!t.n.features.gate_order) {
         request.priority = 0;
         request.late = false;
         request.due = time_point{};
     }
-    request.bound_by_length = !request.inner || !t.n.on.patient_calls;
-    gate_verdict verdict = enter_gate(t.n.gate, request);
-    if (verdict == gate_verdict::full) {
+    request.limited_by_queue_length = !request.inner || !t.n.features.patient_calls;
+    gate_verdict verdict = request_slot(t.n.gate, request);
+    if (verdict == gate_verdict::refused) {
         refuse(t, link, call, reason::queue_full);
         return;
     }
-    gate_call run;
+    local_run run;
     run.id = id;
     run.link = link;
     run.arrived_at = t.now;
@@ -245,25 +245,25 @@
     run.expires = run.deadline;
     run.due = due;
     run.call = std::move(call);
-    t.n.served[{link, run.call.correlation}] = id;
+    t.n.runs_by_correlation[{link, run.call.correlation}] = id;
     t.n.run_expiry.emplace(run.expires, id);
     t.n.runs.emplace(id, std::move(run));
-    if (verdict == gate_verdict::start) {
+    if (verdict == gate_verdict::granted) {
         dispatch_run(t, id);
     }
 }
 
-void take_cancel(mesh_turn &t, link_ref link, std::uint64_t correlation)
+void handle_cancel(mesh_turn &t, link_ref link, std::uint64_t correlation)
 {
-    auto found = t.n.served.find({link, correlation});
-    if (found == t.n.served.end()) {
+    auto found = t.n.runs_by_correlation.find({link, correlation});
+    if (found == t.n.runs_by_correlation.end()) {
         return;
     }
     cancel_unawaited(t, found->second);
-    start_waiting(t);
+    dispatch_queued(t);
 }
 
-void take_run_result(mesh_turn &t, run_ref id, run_result &&result)
+void handle_run_result(mesh_turn &t, run_ref id, run_result &&result)
 {
     auto found = t.n.runs.find(id);
     if (found == t.n.runs.end()) {
@@ -272,13 +272,13 @@
     duration held = t.now - found->second.started_at.value_or(t.now);
     bool answered = result.end == run_end::answered;
     constexpr std::uint16_t first_error = 400;
-    gate_call run =
-        forget_run(t, id, !t.n.on.whole_runs || (answered && result.status < first_error));
-    give_back_slot(t.n.gate, answered ? std::optional(held) : std::nullopt);
+    local_run run =
+        forget_run(t, id, !t.n.features.whole_runs || (answered && result.status < first_error));
+    release_slot(t.n.gate, answered ? std::optional(held) : std::nullopt);
     note_latency(t.n.latencies.run, held);
-    note_shed(t.n.gate, result.end == run_end::not_executed);
+    record_shed(t.n.gate, result.end == run_end::not_executed);
     if (result.end == run_end::not_sent) {
-        t.n.upstream_down_until = t.now + connect_backoff;
+        t.n.upstream_backoff_until = t.now + connect_backoff;
     }
     if (!answered) {
         t.out.emplace_back(write_line{write_line::severity::info,
@@ -297,7 +297,7 @@
     if (!run.abandoned) {
         send_reply(t, run.link, make_reply(run, result));
     }
-    start_waiting(t);
+    dispatch_queued(t);
 }
 
 void expire_runs(mesh_turn &t)
@@ -305,14 +305,14 @@
     while (!t.n.run_expiry.empty() && t.n.run_expiry.begin()->first <= t.now) {
         run_ref id = t.n.run_expiry.begin()->second;
         if (!t.n.runs.at(id).started_at) {
-            leave_queue(t.n.gate, id);
-            gate_call run = forget_run(t, id);
+            remove_from_queue(t.n.gate, id);
+            local_run run = forget_run(t, id);
             refuse(t, run.link, run.call, reason::too_late);
             continue;
         }
         t.out.emplace_back(cancel_run{id});
-        gate_call run = forget_run(t, id);
-        give_back_slot(t.n.gate, std::nullopt);
+        local_run run = forget_run(t, id);
+        release_slot(t.n.gate, std::nullopt);
         mesh_wire::reply_message reply;
         reply.correlation = run.call.correlation;
         reply.outcome = outcome::unknown;
@@ -322,29 +322,29 @@
             send_reply(t, run.link, std::move(reply));
         }
     }
-    start_waiting(t);
+    dispatch_queued(t);
 }
 
-void lose_link(mesh_turn &t, link_ref link)
+void handle_link_closed(mesh_turn &t, link_ref link)
 {
     t.n.links.erase(link);
     std::vector<run_ref> lost;
-    for (auto it = t.n.served.lower_bound({link, 0});
-         it != t.n.served.end() && it->first.first == link; ++it) {
+    for (auto it = t.n.runs_by_correlation.lower_bound({link, 0});
+         it != t.n.runs_by_correlation.end() && it->first.first == link; ++it) {
         lost.push_back(it->second);
     }
     for (run_ref id : lost) {
         t.n.runs.at(id).abandoned = true;
         cancel_unawaited(t, id);
     }
-    start_waiting(t);
+    dispatch_queued(t);
 }
 
 void close_gate(mesh_turn &t)
 {
     t.n.gate_closed = true;
-    refuse_waiting(t, reason::stopping);
-    spread_status(t);
+    refuse_queued(t, reason::stopping);
+    broadcast_status(t);
 }
 
 }  // namespace gullstall::mesh
--- a/gullstall/src/mesh/service_levels.cpp
+++ b/gullstall/src/mesh/service_levels.cpp
@@ -20,10 +20,10 @@
 /// values come from traffic splits or from calls that only some runs make.
 constexpr double always_needed_runs = 0.95;
 
-void add_needs(const service_levels &it, const traffic_policy &policy, const std::string &route,
+void add_needs(const admission_plan &it, const traffic_policy &policy, const std::string &route,
                double times, int depth, service_runs &out)
 {
-    const traffic_route *known = route_named(policy, route);
+    const traffic_route *known = find_route_by_name(policy, route);
     if (known == nullptr || depth > max_call_depth) {
         return;
     }
@@ -45,7 +45,7 @@
 
 /// Routes that are called by runs. They get no weight of their own: their calls are
 /// admitted together with the request that the run belongs to.
-std::set<std::string> nested_routes(const service_levels &it)
+std::set<std::string> nested_routes(const admission_plan &it)
 {
     std::set<std::string> out;
     for (const auto &[route, calls] : it.calls) {
@@ -76,7 +76,7 @@
 /// Computes the weights of the routes that use one service. A route that needs few runs
 /// of it gets a higher weight than its class alone gives, because refusing its requests
 /// frees little capacity. No weight exceeds that of a route of a more urgent class.
-std::map<std::string, double> route_weights(std::vector<route_usage> users, const mesh_switches &on)
+std::map<std::string, double> route_weights(std::vector<route_usage> users, const mesh_features &on)
 {
     std::map<std::string, double> out;
     std::stable_sort(users.begin(), users.end(), [](const route_usage &a, const route_usage &b) {
@@ -91,7 +91,7 @@
     double next_bound = 1;  // upper bound for the next class
     for (std::size_t i = 0; i < users.size(); ++i) {
         if (i > 0 && users[i].priority != users[i - 1].priority) {
-            step *= class_step;
+            step *= class_weight_ratio;
             bound = next_bound;
         }
         double factor = on.needs_in_weights ? most_runs / users[i].runs : 1;
@@ -104,9 +104,10 @@
 
 }  // namespace
 
-void plan_levels(service_levels &it, const traffic_policy &policy, const mesh_switches &on)
+void update_admission_plan(admission_plan &it, const traffic_policy &policy,
+                           const mesh_features &on)
 {
-    it.needs.clear();
+    it.runs_per_request.clear();
     it.weights.clear();
     std::set<std::string> called = nested_routes(it);
     std::map<std::string, std::vector<route_usage>> users;
@@ -119,14 +120,14 @@
                 users[service].push_back(route_usage{route.name, route.priority, runs});
             }
         }
-        it.needs[route.name] = std::move(needs);
+        it.runs_per_request[route.name] = std::move(needs);
     }
     for (auto &[service, all] : users) {
         it.weights[service] = route_weights(std::move(all), on);
     }
 }
 
-double level_for(const weighted_demand &demand, double capacity)
+double admission_level_for(const weighted_demand &demand, double capacity)
 {
     auto admitted_demand_at = [&](double level) {
         double out = 0;
@@ -135,12 +136,12 @@
         }
         return out;
     };
-    if (admitted_demand_at(open_level) <= capacity) {
-        return open_level;
+    if (admitted_demand_at(unlimited_level) <= capacity) {
+        return unlimited_level;
     }
     constexpr int halvings = 20;  // bisection to a millionth of the unlimited level
     double low = 0;
-    double high = open_level;
+    double high = unlimited_level;
     for (int i = 0; i < halvings; ++i) {
         double mid = (low + high) / 2;
         (admitted_demand_at(mid) > capacity ? high : low) = mid;
@@ -148,11 +149,11 @@
     return low;
 }
 
-bool lacks_service(const service_levels &it, const std::string &route,
-                   const std::map<std::string, service_state> &states)
+bool needs_unavailable_service(const admission_plan &it, const std::string &route,
+                               const std::map<std::string, service_state> &states)
 {
-    auto needs = it.needs.find(route);
-    if (needs == it.needs.end()) {
+    auto needs = it.runs_per_request.find(route);
+    if (needs == it.runs_per_request.end()) {
         return false;
     }
     return std::any_of(needs->second.begin(), needs->second.end(), [&](const auto &entry) {
@@ -160,13 +161,13 @@
     });
 }
 
-admitted_shares shares_of(const service_levels &it, const std::string &route,
-                          const std::map<std::string, service_state> &states,
-                          const mesh_switches &on)
+admitted_shares admitted_shares_for(const admission_plan &it, const std::string &route,
+                                    const std::map<std::string, service_state> &states,
+                                    const mesh_features &on)
 {
     admitted_shares out;
-    auto needs = it.needs.find(route);
-    if (needs == it.needs.end()) {
+    auto needs = it.runs_per_request.find(route);
+    if (needs == it.runs_per_request.end()) {
         return out;
     }
     double chance = 1;  // probability that no call of the chain is shed
@@ -176,25 +177,26 @@
         if (state == states.end() || weights == it.weights.end()) {
             continue;
         }
-        chance *= std::pow(1 - state->second.shed, runs);
+        chance *= std::pow(1 - state->second.shed_share, runs);
         auto weight = weights->second.find(route);
         if (on.admission && weight != weights->second.end()) {
             bool is_urgent = on.urgent_share && weight->second >= 1;
-            double min_share = is_urgent ? state->second.urgent_share : 0;
-            out.by_room =
-                std::min(out.by_room, std::max(min_share, state->second.level * weight->second));
+            double min_share = is_urgent ? state->second.min_urgent_share : 0;
+            out.by_capacity =
+                std::min(out.by_capacity,
+                         std::max(min_share, state->second.admission_level * weight->second));
         }
     }
-    out.by_room = std::clamp(out.by_room, least_share, 1.0);
+    out.by_capacity = std::clamp(out.by_capacity, min_admitted_share, 1.0);
     if (on.shed_chance) {
-        out.by_chance = std::clamp(chance / min_success_chance, probe_share, 1.0);
+        out.by_success_chance = std::clamp(chance / min_success_chance, probe_share, 1.0);
     }
     return out;
 }
 
 double admitted_share(const admitted_shares &it)
 {
-    return std::min(it.by_room, it.by_chance);
+    return std::min(it.by_capacity, it.by_success_chance);
 }
 
 }  // namespace gullstall::mesh
--- a/gullstall/src/mesh/service_levels.hpp
+++ b/gullstall/src/mesh/service_levels.hpp
@@ -15,30 +15,30 @@
 using service_runs = std::map<std::string, double>;
 
 /// Admission level at which no request is refused. It exceeds the inverse of the weight
-/// of the least urgent of three classes (see class_step).
-constexpr double open_level = 6;
+/// of the least urgent of three classes (see class_weight_ratio).
+constexpr double unlimited_level = 6;
 
 /// State of a service, aggregated over the status messages of its nodes.
 struct service_state
 {
     /// Admission level: at level 1 all requests of the most urgent class are admitted,
     /// and requests of the other routes in proportion to their weights.
-    double level = open_level;
+    double admission_level = unlimited_level;
     /// Minimum admitted share of the most urgent class: the share that fits the capacity
     /// when no other class is admitted. The backlog is ignored here, since it may consist
     /// of less urgent requests, which urgent ones overtake.
-    double urgent_share = 0;
-    double shed = 0;  ///< share of the calls that the upstreams shed
+    double min_urgent_share = 0;
+    double shed_share = 0;  ///< share of the calls that the upstreams shed
 
     bool operator==(const service_state &) const = default;
 };
 
 /// Load that each route causes at each service, and the relative shares at which its
 /// requests are admitted when a service is short of capacity.
-struct service_levels
+struct admission_plan
 {
-    std::map<std::string, calls_per_run> calls;  ///< learned calls per run, by route
-    std::map<std::string, service_runs> needs;   ///< runs per request, by route
+    std::map<std::string, calls_per_run> calls;            ///< learned calls per run, by route
+    std::map<std::string, service_runs> runs_per_request;  ///< runs per request, by route
     /// By service, then by route: the share of the route's requests that is admitted
     /// at level 1.
     std::map<std::string, std::map<std::string, double>> weights;
@@ -46,38 +46,39 @@
 
 /// Weight of a priority class relative to the next more urgent one. Strict priority
 /// would starve the least urgent class for the whole duration of an overload.
-constexpr double class_step = 0.45;
+constexpr double class_weight_ratio = 0.45;
 
 /// Demand on a service in runs per second, by the weight of the requests' routes.
 using weighted_demand = std::map<double, double>;
 
 /// \param capacity of the service, in runs per second
 /// \returns the admission level at which the admitted requests just use the capacity
-double level_for(const weighted_demand &demand, double capacity);
+double admission_level_for(const weighted_demand &demand, double capacity);
 
 /// Computes needs and weights from the policy and the learned calls.
-void plan_levels(service_levels &it, const traffic_policy &policy, const mesh_switches &on = {});
+void update_admission_plan(admission_plan &it, const traffic_policy &policy,
+                           const mesh_features &on = {});
 
 /// \param states of the services that have an upstream
 /// \returns whether every request of \a route needs a service that has no upstream.
 /// If admitted, such a request would fail at that call after all work before it was
 /// done; if refused, the caller can safely retry.
-bool lacks_service(const service_levels &it, const std::string &route,
-                   const std::map<std::string, service_state> &states);
+bool needs_unavailable_service(const admission_plan &it, const std::string &route,
+                               const std::map<std::string, service_state> &states);
 
 /// Admitted shares of a route's requests, by limiting factor.
 struct admitted_shares
 {
-    double by_room = 1;    ///< limit set by the capacity of the services
-    double by_chance = 1;  ///< limit set by the chance that upstreams shed a nested call
+    double by_capacity = 1;        ///< limit set by the capacity of the services
+    double by_success_chance = 1;  ///< limit set by the chance that upstreams shed a nested call
 
     bool operator==(const admitted_shares &) const = default;
 };
 
 /// \param states by service; a service without an entry sets no limit
-admitted_shares shares_of(const service_levels &it, const std::string &route,
-                          const std::map<std::string, service_state> &states,
-                          const mesh_switches &on = {});
+admitted_shares admitted_shares_for(const admission_plan &it, const std::string &route,
+                                    const std::map<std::string, service_state> &states,
+                                    const mesh_features &on = {});
 
 /// \returns the share that satisfies both limits
 double admitted_share(const admitted_shares &it);
--- a/gullstall/src/mesh/service_totals.cpp
+++ b/gullstall/src/mesh/service_totals.cpp
@@ -45,7 +45,7 @@
 
 }  // namespace
 
-service_zones zones_of_services(const directory &it, time_point now)
+service_zones zones_by_service(const directory &it, time_point now)
 {
     service_zones out;
     for (const auto &[name, view] : it.nodes) {
@@ -56,7 +56,7 @@
     return out;
 }
 
-std::map<std::string, service_state> states_of_services(const directory &it, time_point now)
+std::map<std::string, service_state> compute_service_states(const directory &it, time_point now)
 {
     std::map<std::string, service_sums> sums;
     for (const auto &[name, view] : it.nodes) {
@@ -67,9 +67,10 @@
     std::map<std::string, service_state> out;
     for (const auto &[service, sum] : sums) {
         service_state &state = out[service];
-        state.level = sum.is_capacity_known ? level_for(sum.demand, sum.capacity) : open_level;
-        state.urgent_share = urgent_share(sum);
-        state.shed = sum.accepting_slots > 0 ? sum.shed / sum.accepting_slots : 1;
+        state.admission_level =
+            sum.is_capacity_known ? admission_level_for(sum.demand, sum.capacity) : unlimited_level;
+        state.min_urgent_share = urgent_share(sum);
+        state.shed_share = sum.accepting_slots > 0 ? sum.shed / sum.accepting_slots : 1;
     }
     return out;
 }
--- a/gullstall/src/mesh/stop.cpp
+++ b/gullstall/src/mesh/stop.cpp
@@ -8,7 +8,7 @@
 std::size_t others_staying(const mesh_turn &t)
 {
     const auto &self = t.n.settings.node;
-    return count_staying(t.n.nodes, self.name, self.service, t.now);
+    return count_remaining(t.n.nodes, self.name, self.service, t.now);
 }
 
 void log_gate_close(mesh_turn &t, std::size_t staying, bool suffice)
@@ -18,7 +18,7 @@
                                   "gate-closed",
                                   {{"why", suffice ? "others_suffice" : "time_is_over"},
                                    {"staying", std::to_string(staying)},
-                                   {"least", std::to_string(t.n.least_staying)},
+                                   {"least", std::to_string(t.n.required_remaining)},
                                    {"runs", std::to_string(t.n.runs.size())}}});
 }
 
@@ -28,18 +28,18 @@
 {
     t.n.stopping = true;
     t.n.stop = plan_stop(t.now, t.n.settings.stop_time,
-                         duration(static_cast<std::int64_t>(t.n.gate.run_us)));
-    t.n.gate_closes_at = t.n.stop.gate_from;
-    t.n.entry_closes_at = t.n.stop.entry;
-    refresh_own_view(t);
-    t.n.least_staying =
-        least_staying(t.n.nodes, t.n.settings.node.name, t.n.settings.node.service, t.now);
+                         duration(static_cast<std::int64_t>(t.n.gate.mean_run_us)));
+    t.n.gate_closes_at = t.n.stop.gate_close_earliest;
+    t.n.entry_closes_at = t.n.stop.entry_close;
+    update_own_status(t);
+    t.n.required_remaining =
+        required_remaining(t.n.nodes, t.n.settings.node.name, t.n.settings.node.service, t.now);
     t.out.emplace_back(write_line{
         write_line::severity::info,
         "node",
         "stopping",
         {{"calls", std::to_string(t.n.calls.size())}, {"runs", std::to_string(t.n.runs.size())}}});
-    spread_status(t);
+    broadcast_status(t);
 }
 
 void stop_tick(mesh_turn &t)
@@ -48,20 +48,21 @@
         return;
     }
     std::size_t staying = others_staying(t);
-    bool holds = t.n.on.ordered_stops && serves(t.n, t.now) && staying < t.n.least_staying;
-    if (!holds || t.now >= t.n.stop.gate_by) {
+    bool holds =
+        t.n.features.ordered_stops && accepts_runs(t.n, t.now) && staying < t.n.required_remaining;
+    if (!holds || t.now >= t.n.stop.gate_close_latest) {
         log_gate_close(t, staying, !holds);
         close_gate(t);
     }
 }
 
-bool takes_callers(const mesh_node &n, time_point now, time_point expires)
+bool accepts_callers(const mesh_node &n, time_point now, time_point expires)
 {
     if (!n.entry_closes_at || now < *n.entry_closes_at) {
         return true;
     }
     // While the gate is held open, requests that finish before the process exits are accepted.
-    return !n.gate_closed && (now < n.stop.held_entry || expires <= n.stop.answered);
+    return !n.gate_closed && (now < n.stop.held_entry_close || expires <= n.stop.answer_deadline);
 }
 
 bool is_entry_closed(const mesh_node &n, time_point now)
--- a/gullstall/src/mesh/stop_order.cpp
+++ b/gullstall/src/mesh/stop_order.cpp
@@ -46,21 +46,21 @@
 
 }  // namespace
 
-stop_times plan_stop(time_point now, duration stop_time, duration run_time)
+stop_schedule plan_stop(time_point now, duration stop_time, duration run_time)
 {
     duration max_delay = stop_time / delay_divisor;
     duration final_runs_time = std::max(stop_time / final_runs_divisor, final_runs * run_time);
-    stop_times out;
-    out.gate_from = now + std::min(gate_close_delay, max_delay);
-    out.gate_by = std::max(out.gate_from, now + stop_time - final_runs_time);
-    out.entry = now + std::min(entry_close_delay, max_delay);
-    out.held_entry = now + max_delay;
-    out.answered = now + stop_time - response_margin;
+    stop_schedule out;
+    out.gate_close_earliest = now + std::min(gate_close_delay, max_delay);
+    out.gate_close_latest = std::max(out.gate_close_earliest, now + stop_time - final_runs_time);
+    out.entry_close = now + std::min(entry_close_delay, max_delay);
+    out.held_entry_close = now + max_delay;
+    out.answer_deadline = now + stop_time - response_margin;
     return out;
 }
 
-std::size_t count_staying(const directory &it, const std::string &own, const std::string &service,
-                          time_point now)
+std::size_t count_remaining(const directory &it, const std::string &own, const std::string &service,
+                            time_point now)
 {
     return static_cast<std::size_t>(
         std::count_if(it.nodes.begin(), it.nodes.end(), [&](const auto &entry) {
@@ -69,8 +69,8 @@
         }));
 }
 
-std::size_t least_staying(const directory &it, const std::string &own, const std::string &service,
-                          time_point now)
+std::size_t required_remaining(const directory &it, const std::string &own,
+                               const std::string &service, time_point now)
 {
     std::size_t usable = 0;
     std::size_t others = 0;
--- a/gullstall/src/mesh/switches.cpp
+++ b/gullstall/src/mesh/switches.cpp
@@ -11,36 +11,36 @@
 struct named_flag
 {
     std::string_view name;
-    bool mesh_switches::*member;
+    bool mesh_features::*member;
 };
 
 constexpr std::array all_flags{
-    named_flag{"age_of_frames", &mesh_switches::age_of_frames},
-    named_flag{"ask_quiet_nodes", &mesh_switches::ask_quiet_nodes},
-    named_flag{"chains_need_all", &mesh_switches::chains_need_all},
-    named_flag{"admission", &mesh_switches::admission},
-    named_flag{"needs_in_weights", &mesh_switches::needs_in_weights},
-    named_flag{"shed_chance", &mesh_switches::shed_chance},
-    named_flag{"zone_plan", &mesh_switches::zone_plan},
-    named_flag{"own_zone_first", &mesh_switches::own_zone_first},
-    named_flag{"failure_cost", &mesh_switches::failure_cost},
-    named_flag{"cost_draw", &mesh_switches::cost_draw},
-    named_flag{"packed_frames", &mesh_switches::packed_frames},
-    named_flag{"repeats", &mesh_switches::repeats},
-    named_flag{"gate_order", &mesh_switches::gate_order},
-    named_flag{"patient_calls", &mesh_switches::patient_calls},
-    named_flag{"urgent_share", &mesh_switches::urgent_share},
-    named_flag{"kept_chains", &mesh_switches::kept_chains},
-    named_flag{"whole_runs", &mesh_switches::whole_runs},
-    named_flag{"timed_returns", &mesh_switches::timed_returns},
-    named_flag{"spread_returns", &mesh_switches::spread_returns},
-    named_flag{"ordered_stops", &mesh_switches::ordered_stops},
-    named_flag{"waiting_calls", &mesh_switches::waiting_calls},
+    named_flag{"age_of_frames", &mesh_features::age_of_frames},
+    named_flag{"ask_quiet_nodes", &mesh_features::ask_quiet_nodes},
+    named_flag{"chains_need_all", &mesh_features::chains_need_all},
+    named_flag{"admission", &mesh_features::admission},
+    named_flag{"needs_in_weights", &mesh_features::needs_in_weights},
+    named_flag{"shed_chance", &mesh_features::shed_chance},
+    named_flag{"zone_plan", &mesh_features::zone_plan},
+    named_flag{"own_zone_first", &mesh_features::own_zone_first},
+    named_flag{"failure_cost", &mesh_features::failure_cost},
+    named_flag{"cost_draw", &mesh_features::cost_draw},
+    named_flag{"packed_frames", &mesh_features::packed_frames},
+    named_flag{"repeats", &mesh_features::repeats},
+    named_flag{"gate_order", &mesh_features::gate_order},
+    named_flag{"patient_calls", &mesh_features::patient_calls},
+    named_flag{"urgent_share", &mesh_features::urgent_share},
+    named_flag{"kept_chains", &mesh_features::kept_chains},
+    named_flag{"whole_runs", &mesh_features::whole_runs},
+    named_flag{"timed_returns", &mesh_features::timed_returns},
+    named_flag{"spread_returns", &mesh_features::spread_returns},
+    named_flag{"ordered_stops", &mesh_features::ordered_stops},
+    named_flag{"waiting_calls", &mesh_features::waiting_calls},
 };
 
 }  // namespace
 
-result<done> switch_off(mesh_switches &it, std::string_view names)
+result<done> disable_features(mesh_features &it, std::string_view names)
 {
     while (!names.empty()) {
         std::string_view name = names.substr(0, names.find(','));
--- a/gullstall/src/mesh/switches.hpp
+++ b/gullstall/src/mesh/switches.hpp
@@ -9,7 +9,7 @@
 
 /// Feature flags of the mesh. Tests switch a feature off to show the failure that it
 /// prevents, benchmarks to measure its effect. In production all are on.
-struct mesh_switches
+struct mesh_features
 {
     bool age_of_frames = true;     ///< off: the transit time of frames is ignored
     bool ask_quiet_nodes = true;   ///< off: a silent node gets calls until it is declared lost
@@ -33,13 +33,13 @@
     bool ordered_stops = true;     ///< off: a stopping node does not wait for other upstreams
     bool waiting_calls = true;     ///< off: nested calls without an upstream fail at once
 
-    bool operator==(const mesh_switches &) const = default;
+    bool operator==(const mesh_features &) const = default;
 };
 
 /// Disables features.
-/// \param names of members of mesh_switches, separated by commas
+/// \param names of members of mesh_features, separated by commas
 /// \returns an error that contains the first unknown name
-result<done> switch_off(mesh_switches &it, std::string_view names);
+result<done> disable_features(mesh_features &it, std::string_view names);
 
 }  // namespace gullstall::mesh
 
--- a/gullstall/src/mesh/upstream_news.cpp
+++ b/gullstall/src/mesh/upstream_news.cpp
@@ -9,28 +9,29 @@
 /// Updates the gate to the state reported by the upstream.
 void sync_gate(mesh_turn &t)
 {
-    if (takes_work(t.n.upstream)) {
+    if (accepts_work(t.n.upstream)) {
         t.n.gate.slots = usable_slots(t.n.upstream.latest->slots);
-        start_waiting(t);
+        dispatch_queued(t);
     } else {
-        refuse_waiting(t, reason::leaving);
+        refuse_queued(t, reason::leaving);
     }
 }
 
 }  // namespace
 
-heartbeat_verdict on_heartbeat(mesh_turn &t, const upstream_heartbeat &beat)
+heartbeat_verdict handle_heartbeat(mesh_turn &t, const upstream_heartbeat &beat)
 {
     std::optional<upstream_heartbeat> before = t.n.upstream.latest;
-    heartbeat_verdict verdict = take_heartbeat(t.n.upstream, beat, t.now);
-    if (verdict != heartbeat_verdict::taken) {
+    heartbeat_verdict verdict = apply_heartbeat(t.n.upstream, beat, t.now);
+    if (verdict != heartbeat_verdict::accepted) {
         return verdict;
     }
-    bool is_new = !before || before->upstream != beat.upstream || before->born != beat.born;
+    bool is_new =
+        !before || before->upstream != beat.upstream || before->started_ms != beat.started_ms;
     bool has_changed = is_new || before->state != beat.state;
-    t.n.upstream_down_until = time_point{};
+    t.n.upstream_backoff_until = time_point{};
     if (is_new) {
-        t.n.gate.run_us = 0;
+        t.n.gate.mean_run_us = 0;
         t.out.emplace_back(upstream_replaced{});
     }
     sync_gate(t);
@@ -42,22 +43,22 @@
                                        {"service", beat.service},
                                        {"state", mesh_wire::EnumNameupstream_state(beat.state)},
                                        {"slots", std::to_string(beat.slots)},
-                                       {"born", std::to_string(beat.born)},
+                                       {"born", std::to_string(beat.started_ms)},
                                        {"sequence", std::to_string(beat.sequence)},
-                                       {"cold_ms", std::to_string(to_ms(beat.cold_for))}}});
-        spread_status(t);
-        place_waiting_calls(t);
+                                       {"cold_ms", std::to_string(to_ms(beat.warmup_time))}}});
+        broadcast_status(t);
+        dispatch_waiting_calls(t);
     }
     return verdict;
 }
 
-void on_leave(mesh_turn &t, const std::string &upstream, std::uint64_t unix_ms)
+void handle_leave(mesh_turn &t, const std::string &upstream, std::uint64_t unix_ms)
 {
-    take_leave(t.n.upstream, upstream, unix_ms);
+    apply_leave(t.n.upstream, upstream, unix_ms);
     t.out.emplace_back(write_line{
         write_line::severity::info, "upstream", "upstream-left", {{"upstream", upstream}}});
     sync_gate(t);
-    spread_status(t);
+    broadcast_status(t);
 }
 
 }  // namespace gullstall::mesh
--- a/gullstall/src/mesh/waiting_calls.cpp
+++ b/gullstall/src/mesh/waiting_calls.cpp
@@ -37,17 +37,17 @@
 
 bool wait_for_upstream(mesh_turn &t, entry_call &call)
 {
-    if (!t.n.on.waiting_calls || !call.call.inner || !is_missing_upstream(call.last_reason)) {
+    if (!t.n.features.waiting_calls || !call.call.inner || !is_missing_upstream(call.last_reason)) {
         return false;
     }
-    if (!call.waits_until) {
+    if (!call.wait_deadline) {
         duration replacement_time =
             milliseconds(t.n.settings.upstream.heartbeat_interval_ms) + process_restart_time;
         duration max_wait = std::min(replacement_time, (call.expires - t.now) / wait_time_divisor);
-        call.waits_until = t.now + max_wait;
+        call.wait_deadline = t.now + max_wait;
         log_wait(t, call, max_wait);
     }
-    if (t.now >= *call.waits_until) {
+    if (t.now >= *call.wait_deadline) {
         return false;
     }
     t.n.waiting_calls.push_back(call.id);
--- a/gullstall/src/mesh/zone_plan.cpp
+++ b/gullstall/src/mesh/zone_plan.cpp
@@ -23,7 +23,7 @@
 /// below it, if each goes to the zone with the lowest cost
 double cost_of_call(plan_input &p, const std::string &route, const std::string &zone, int depth)
 {
-    const traffic_route *known = route_named(p.policy, route);
+    const traffic_route *known = find_route_by_name(p.policy, route);
     if (known == nullptr || known->services.empty()) {
         return 0;
     }
@@ -46,7 +46,7 @@
     if (calls == p.calls.end() || depth > max_call_depth) {
         return 0;
     }
-    auto &known = p.out.crossings[route];
+    auto &known = p.out.cross_zone_calls[route];
     if (auto found = known.find(zone); found != known.end()) {
         return found->second;
     }
@@ -54,15 +54,15 @@
     for (const auto &[child, n] : calls->second) {
         cost += n * cost_of_call(p, child, zone, depth + 1);
     }
-    p.out.crossings[route][zone] = cost;
+    p.out.cross_zone_calls[route][zone] = cost;
     return cost;
 }
 
 }  // namespace
 
-zone_plan plan_zones(const traffic_policy &policy,
-                     const std::map<std::string, calls_per_run> &calls,
-                     const service_zones &present)
+zone_plan make_zone_plan(const traffic_policy &policy,
+                         const std::map<std::string, calls_per_run> &calls,
+                         const service_zones &present)
 {
     std::set<std::string> zones;
     for (const auto &[service, service_zone_set] : present) {
@@ -78,10 +78,11 @@
     return out;
 }
 
-double crossings_below(const zone_plan &it, const std::string &route, const std::string &zone)
+double cross_zone_calls_below(const zone_plan &it, const std::string &route,
+                              const std::string &zone)
 {
-    auto known = it.crossings.find(route);
-    if (known == it.crossings.end()) {
+    auto known = it.cross_zone_calls.find(route);
+    if (known == it.cross_zone_calls.end()) {
         return 0;
     }
     auto found = known->second.find(zone);
--- a/gullstall/src/mesh/zone_plan.hpp
+++ b/gullstall/src/mesh/zone_plan.hpp
@@ -20,20 +20,21 @@
 struct zone_plan
 {
     /// Expected cross-zone calls of all calls below a run, by the run's route and zone.
-    std::map<std::string, std::map<std::string, double>> crossings;
+    std::map<std::string, std::map<std::string, double>> cross_zone_calls;
 
     bool operator==(const zone_plan &) const = default;
 };
 
 /// \param calls learned calls per run, by route
 /// \param present zones in which each service has an upstream
-zone_plan plan_zones(const traffic_policy &policy,
-                     const std::map<std::string, calls_per_run> &calls,
-                     const service_zones &present);
+zone_plan make_zone_plan(const traffic_policy &policy,
+                         const std::map<std::string, calls_per_run> &calls,
+                         const service_zones &present);
 
 /// \returns the expected cross-zone calls below a run of \a route in \a zone; 0 if they
 /// are unknown
-double crossings_below(const zone_plan &it, const std::string &route, const std::string &zone);
+double cross_zone_calls_below(const zone_plan &it, const std::string &route,
+                              const std::string &zone);
 
 }  // namespace gullstall::mesh
 
--- a/gullstall/src/node/action.hpp
+++ b/gullstall/src/node/action.hpp
@@ -70,7 +70,7 @@
 };
 
 /// Send a request to the platform; the answer comes as platform_answered.
-struct ask_platform
+struct request_platform
 {
     platform_ref request;
     platform_request what;
@@ -86,7 +86,7 @@
 };
 
 /// Exit the process; nothing is in flight any more.
-struct stop_now
+struct exit_process
 {
 };
 
@@ -104,8 +104,8 @@
 };
 
 /// Any action that step() returns.
-using action = std::variant<answer_call, send_frame, run_on_worker, cancel_on_worker, ask_platform,
-                            answer_admin, stop_now, write_log, check_worker>;
+using action = std::variant<answer_call, send_frame, run_on_worker, cancel_on_worker,
+                            request_platform, answer_admin, exit_process, write_log, check_worker>;
 
 /// Actions, to be carried out in this order.
 using actions = std::vector<action>;
--- a/gullstall/src/node/admin.cpp
+++ b/gullstall/src/node/admin.cpp
@@ -60,7 +60,7 @@
                       format_metric("calls_answered_total", n.counters.calls_answered) +
                       format_metric("calls_resent_total", n.counters.calls_resent) +
                       format_metric("repeats_joined_total", n.counters.repeats_joined) +
-                      format_metric("contexts_unknown_total", n.counters.contexts_unknown) +
+                      format_metric("contexts_unknown_total", n.counters.unknown_contexts) +
                       format_metric("runs_started_total", n.counters.runs_started) +
                       format_metric("runs_lost_total", n.counters.runs_lost) +
                       format_metric("calls_in_flight", n.calls.size()) +
@@ -81,7 +81,7 @@
 
 }  // namespace
 
-void on_admin_asked(step_context &t, const admin_asked &e)
+void on_admin_asked(step_context &t, const admin_requested &e)
 {
     answer_admin answer{e.question, http_ok, json_type, ""};
     if (e.target == "/metrics") {
--- a/gullstall/src/node/answer.cpp
+++ b/gullstall/src/node/answer.cpp
@@ -14,7 +14,7 @@
 void erase_call(step_context &t, pending_call &call)
 {
     if (call.current) {
-        t.n.attempts.erase(call.current->correlation);
+        t.n.calls_by_attempt.erase(call.current->correlation);
     }
     auto [begin, end] = t.n.call_deadlines.equal_range(call.deadline);
     for (auto it = begin; it != end; ++it) {
@@ -26,17 +26,17 @@
     if (call.parent) {
         auto run = t.n.runs.find(*call.parent);
         if (run != t.n.runs.end()) {
-            run->second.children.erase(call.id);
+            run->second.child_calls.erase(call.id);
             run->second.retries.left += call.retries.left;
         }
     } else {
-        auto entered = t.n.entered.find(call.request.request_id);
-        if (entered != t.n.entered.end() && entered->second == call.id) {
-            t.n.entered.erase(entered);
+        auto entered = t.n.calls_by_request_id.find(call.request.request_id);
+        if (entered != t.n.calls_by_request_id.end() && entered->second == call.id) {
+            t.n.calls_by_request_id.erase(entered);
         }
     }
     for (call_ref waiter : call.waiters) {
-        t.n.joined.erase(waiter);
+        t.n.joined_repeats.erase(waiter);
     }
     t.n.calls.erase(call.id);
 }
@@ -106,8 +106,8 @@
         note_event(t.n.events, t.now, event_kind::call_refused, call.request.request_id,
                    reply.refused_by, description);
         if (reply.retry_after_ms == 0) {
-            double beyond =
-                classes_beyond(t.n.touches, reply.refused_by, priority_of(call.request), t.now);
+            double beyond = classes_beyond(t.n.touched_services, reply.refused_by,
+                                           priority_of(call.request), t.now);
             reply.retry_after_ms = draw_retry_after_ms(t.n.random, beyond);
         }
     } else {
--- a/gullstall/src/node/attempt.cpp
+++ b/gullstall/src/node/attempt.cpp
@@ -11,8 +11,8 @@
     const std::string &self = t.n.settings.node.instance;
     std::uint64_t correlation = next_id(t.n);
     call.current = attempt{correlation, upstream, share, t.now};
-    t.n.attempts[correlation] = call.id;
-    note_sent(t.n.routes, upstream);
+    t.n.calls_by_attempt[correlation] = call.id;
+    record_sent(t.n.routes, upstream);
     wire::call_message message = call.request;
     message.correlation = correlation;
     message.allowance = share;
@@ -40,20 +40,20 @@
 /// \returns whether it waits
 bool wait_for_upstream(step_context &t, pending_call &call)
 {
-    if (!call.parent || !t.n.guards.calls_wait) {
+    if (!call.parent || !t.n.guards.wait_for_upstreams) {
         return false;
     }
-    if (!call.waits_until) {
+    if (!call.upstream_wait_deadline) {
         duration part = (call.deadline - t.now) / upstream_wait_divisor;
-        call.waits_until = t.now + std::min(max_upstream_wait, part);
+        call.upstream_wait_deadline = t.now + std::min(max_upstream_wait, part);
         log(t, write_log::severity::info, "call",
             "call-waits request=" + call.request.request_id + " service=" + call.request.service +
                 " members=" + std::to_string(t.n.members.members.size()));
     }
-    if (t.now >= *call.waits_until) {
+    if (t.now >= *call.upstream_wait_deadline) {
         return false;
     }
-    t.n.waiting_calls.push_back(call.id);
+    t.n.calls_awaiting_upstream.push_back(call.id);
     return true;
 }
 
@@ -89,7 +89,7 @@
 
 void start_waiting_calls(step_context &t)
 {
-    std::vector<call_ref> waiting = std::exchange(t.n.waiting_calls, {});
+    std::vector<call_ref> waiting = std::exchange(t.n.calls_awaiting_upstream, {});
     for (call_ref id : waiting) {
         auto found = t.n.calls.find(id);
         if (found == t.n.calls.end() || found->second.current) {
@@ -126,10 +126,10 @@
 {
     pending_call &call = t.n.calls.at(id);
     if (call.retries.left == 0 || t.now >= call.deadline ||
-        !spend_budget(t.n.budgets[call.request.service])) {
+        !take_retry_token(t.n.budgets[call.request.service])) {
         return false;
     }
-    spend_retry(call.retries);
+    take_retry(call.retries);
     ++t.n.counters.calls_resent;
     note_event(t.n.events, t.now, event_kind::call_resent, call.request.request_id,
                call.request.service, "");
@@ -142,10 +142,10 @@
 {
     pending_call &call = t.n.calls.at(id);
     return_share(call.retries, call.current->share, reply.unspent);
-    t.n.attempts.erase(call.current->correlation);
+    t.n.calls_by_attempt.erase(call.current->correlation);
     call.current.reset();
     // The issuer of the key reports not_run only if it is certain.
-    call.settled = call.request.to_issuer && reply.refusal != wire::refusal::connection_lost;
+    call.outcome_known = call.request.to_issuer && reply.refusal != wire::refusal::connection_lost;
     call.may_have_run = call.may_have_run || reply.outcome == wire::outcome::unknown;
     if (is_retryable(call, reply) && try_resend(t, id)) {
         return;
@@ -158,13 +158,13 @@
                 duration took, time_point now)
 {
     if (reply.refusal == wire::refusal::connection_lost) {
-        note_failed(routes, from, now);
+        record_failure(routes, from, now);
     } else if (reply.outcome == wire::outcome::not_run) {
-        note_refused(routes, from, now);
+        record_refusal(routes, from, now);
     } else {
         // This includes expired calls: their duration marks an unresponsive
         // upstream as slow.
-        note_answered(routes, from, took);
+        record_answer(routes, from, took);
     }
 }
 
@@ -172,8 +172,8 @@
 
 void on_reply(step_context &t, const std::string &from, wire::reply_message &reply)
 {
-    auto known = t.n.attempts.find(reply.correlation);
-    if (known == t.n.attempts.end()) {
+    auto known = t.n.calls_by_attempt.find(reply.correlation);
+    if (known == t.n.calls_by_attempt.end()) {
         return;  // late reply: the call has already been answered
     }
     call_ref id = known->second;
@@ -182,7 +182,7 @@
         return;  // the correlation belongs to an attempt at another node
     }
     if (reply.leaving) {
-        note_leaving(t.n.routes, from, t.now);
+        record_draining(t.n.routes, from, t.now);
     }
     note_reply(t.n.routes, from, reply, t.now - call.current->sent_at, t.now);
     if (reply.refusal == wire::refusal::connection_lost &&
@@ -196,22 +196,22 @@
 void on_peer_unreachable(step_context &t, const peer_unreachable &e)
 {
     std::vector<std::uint64_t> broken;
-    for (const auto &[correlation, id] : t.n.attempts) {
+    for (const auto &[correlation, id] : t.n.calls_by_attempt) {
         if (t.n.calls.at(id).current->instance == e.instance) {
             broken.push_back(correlation);
         }
     }
     std::sort(broken.begin(), broken.end());
     for (std::uint64_t correlation : broken) {
-        auto known = t.n.attempts.find(correlation);
-        if (known == t.n.attempts.end()) {
+        auto known = t.n.calls_by_attempt.find(correlation);
+        if (known == t.n.calls_by_attempt.end()) {
             continue;
         }
         bool unsent = std::find(e.unsent.begin(), e.unsent.end(), correlation) != e.unsent.end();
         wire::reply_message reply = make_refusal_reply(wire::refusal::connection_lost,
                                                        t.n.calls.at(known->second).request.service);
         reply.outcome = unsent ? wire::outcome::not_run : wire::outcome::unknown;
-        note_failed(t.n.routes, e.instance, t.now);
+        record_failure(t.n.routes, e.instance, t.now);
         if (!unsent) {
             on_attempt_lost(t, t.n.calls.at(known->second), e.instance);
         }
--- a/gullstall/src/node/claim_control.cpp
+++ b/gullstall/src/node/claim_control.cpp
@@ -15,7 +15,7 @@
 std::string claim_writer_of_zone(const node &n, time_point now)
 {
     const std::string &self = n.settings.node.instance;
-    if (now < n.claims_alone_until) {
+    if (now < n.direct_commit_until) {
         return self;
     }
     const member *best = nullptr;
@@ -83,7 +83,7 @@
     for (const row_write &row : batch.commit.rows) {
         message.rows.push_back(make_item(row.key, row.expected_version, row.value));
     }
-    t.n.claims_forwarded[batch.number] = forwarded_claims{writer, t.now};
+    t.n.forwarded_batches[batch.number] = forwarded_claims{writer, t.now};
     send_to(t, writer, make_frame(std::move(message)));
 }
 
@@ -106,8 +106,8 @@
 /// may still be.
 void fail_forwarded_batch(step_context &t, std::uint64_t number)
 {
-    t.n.claims_forwarded.erase(number);
-    t.n.claims_alone_until = t.now + writer_backoff;
+    t.n.forwarded_batches.erase(number);
+    t.n.direct_commit_until = t.now + writer_backoff;
     handle_batch_answer(t, number, platform_answer{platform_status::lost, {}, {}});
 }
 
@@ -126,11 +126,11 @@
 void on_claim_result(step_context &t, const std::string &from,
                      const wire::claim_result_message &message)
 {
-    auto found = t.n.claims_forwarded.find(message.number);
-    if (found == t.n.claims_forwarded.end() || found->second.writer != from) {
+    auto found = t.n.forwarded_batches.find(message.number);
+    if (found == t.n.forwarded_batches.end() || found->second.writer != from) {
         return;  // already failed
     }
-    t.n.claims_forwarded.erase(found);
+    t.n.forwarded_batches.erase(found);
     platform_answer answer{status_of(message.kind), {}, {}};
     for (const auto &row : message.rows) {
         answer.rows.push_back(
@@ -143,7 +143,7 @@
 
 void flush_claims(step_context &t)
 {
-    while (std::optional<claim_batch> batch = next_commit(t.n.once.writer, t.now)) {
+    while (std::optional<claim_batch> batch = next_commit(t.n.idempotency.writer, t.now)) {
         std::string writer = claim_writer_of_zone(t.n, t.now);
         if (writer == t.n.settings.node.instance) {
             add_batch(t.n.claims,
@@ -178,7 +178,7 @@
 void on_claim_writer_gone(step_context &t, const std::string &instance)
 {
     std::vector<std::uint64_t> lost;
-    for (const auto &[number, it] : t.n.claims_forwarded) {
+    for (const auto &[number, it] : t.n.forwarded_batches) {
         if (it.writer == instance) {
             lost.push_back(number);
         }
@@ -190,9 +190,9 @@
 
 void expire_forwarded(step_context &t)
 {
-    while (!t.n.claims_forwarded.empty() &&
-           t.now >= t.n.claims_forwarded.begin()->second.sent_at + writer_timeout) {
-        fail_forwarded_batch(t, t.n.claims_forwarded.begin()->first);
+    while (!t.n.forwarded_batches.empty() &&
+           t.now >= t.n.forwarded_batches.begin()->second.sent_at + writer_timeout) {
+        fail_forwarded_batch(t, t.n.forwarded_batches.begin()->first);
     }
 }
 
--- a/gullstall/src/node/control.cpp
+++ b/gullstall/src/node/control.cpp
@@ -24,12 +24,12 @@
 
 void on_platform_answered(step_context &t, platform_answered &e)
 {
-    auto found = t.n.platform_waiting.find(e.request);
-    if (found == t.n.platform_waiting.end()) {
+    auto found = t.n.pending_platform_requests.find(e.request);
+    if (found == t.n.pending_platform_requests.end()) {
         return;
     }
     platform_purpose purpose = found->second;
-    t.n.platform_waiting.erase(found);
+    t.n.pending_platform_requests.erase(found);
     switch (purpose) {
         case platform_purpose::member_lease:
             on_lease_answer(t, e.answer);
@@ -58,7 +58,7 @@
 void on_worker_announced(step_context &t, const worker_announced &e)
 {
     t.n.slots = e.slots;
-    t.n.worker_leaves = false;
+    t.n.worker_draining = false;
     t.n.contacts.worker_silent = false;
     log(t, write_log::severity::info, "worker",
         "registered with " + std::to_string(e.slots) + " slots");
@@ -67,7 +67,7 @@
 
 void advertise_own_worker(step_context &t)
 {
-    bool serves = t.n.slots > 0 && t.n.bundles.in_force && !t.n.worker_leaves && !t.n.stopping;
+    bool serves = t.n.slots > 0 && t.n.bundles.in_force && !t.n.worker_draining && !t.n.stopping;
     if (serves) {
         set_own_state(t, wire::member_state::alive);
     }
@@ -75,7 +75,7 @@
 
 void on_worker_leaving(step_context &t)
 {
-    t.n.worker_leaves = true;
+    t.n.worker_draining = true;
     log(t, write_log::severity::info, "worker", "worker is leaving");
     set_own_state(t, wire::member_state::leaving);
 }
@@ -86,8 +86,8 @@
         return;
     }
     t.n.stopping = true;
-    t.n.settle_until = t.now + max_outcome_write_wait;
-    t.n.stop_asked_at = t.now;
+    t.n.outcome_write_deadline = t.now + max_outcome_write_wait;
+    t.n.stop_requested_at = t.now;
     log(t, write_log::severity::info, "node", "stopping");
     note_event(t.n.events, t.now, event_kind::stop_began, "", t.n.settings.node.instance, "");
     set_own_state(t, wire::member_state::leaving);
@@ -96,7 +96,7 @@
 bool accepts_callers(const node &n, time_point now)
 {
     // If a successor is running, replies would be sent to it.
-    return !n.stopping || (!n.gossip.superseded && now < n.stop_asked_at + caller_grace_period);
+    return !n.stopping || (!n.gossip.superseded && now < n.stop_requested_at + caller_grace_period);
 }
 
 void on_control_frame(step_context &t, wire::frame_message &frame)
@@ -112,12 +112,12 @@
     if (!t.n.stopping || t.n.stopped || !t.n.runs.empty() || !t.n.calls.empty()) {
         return;
     }
-    if (!t.n.once.writer.writes.empty() && t.now < t.n.settle_until) {
+    if (!t.n.idempotency.writer.writes.empty() && t.now < t.n.outcome_write_deadline) {
         return;  // repeats at other nodes need the unwritten outcomes
     }
     t.n.stopped = true;
     note_event(t.n.events, t.now, event_kind::stop_finished, "", t.n.settings.node.instance, "");
-    t.out.emplace_back(stop_now{});
+    t.out.emplace_back(exit_process{});
 }
 
 }  // namespace gullstall::internal
--- a/gullstall/src/node/entry.cpp
+++ b/gullstall/src/node/entry.cpp
@@ -8,7 +8,7 @@
 
 /// Sets the fields that a nested call inherits from its run, or that the bundle
 /// defines for a new request.
-void set_request_context(step_context &t, pending_call &call, const caller_call &asked)
+void set_request_context(step_context &t, pending_call &call, const call_request &asked)
 {
     wire::call_message &request = call.request;
     // A nested call uses the bundle version of its request, even if a newer one
@@ -33,7 +33,7 @@
         call.deadline = std::min(call.deadline, run.deadline);
         call.retries.left =
             t.n.guards.divide_allowance ? take_share(run.retries) : run.retries.left;
-        run.children.insert(call.id);
+        run.child_calls.insert(call.id);
         return;
     }
     request.request_id = asked.request_id;
@@ -48,14 +48,14 @@
     request.rank = rank_of(request.request_id);
     request.bundle_version = version;
     bool lost_context = !asked.context.empty();
-    t.n.counters.contexts_unknown += lost_context ? 1 : 0;
+    t.n.counters.unknown_contexts += lost_context ? 1 : 0;
     call.retries.left = lost_context ? 0 : policy.limits.retry_allowance;
 }
 
-void refuse_on_arrival(step_context &t, call_ref id, wire::refusal why, const caller_call &asked)
+void refuse_on_arrival(step_context &t, call_ref id, wire::refusal why, const call_request &asked)
 {
     ++t.n.counters.refusals[std::string(wire::EnumNamerefusal(why)) + "/-"];
-    bool knows = knows_not_run(t.n.once, asked.key, asked.attempt);
+    bool knows = knows_not_run(t.n.idempotency, asked.key, asked.attempt);
     note_event(t.n.events, t.now, event_kind::call_refused, asked.request_id,
                t.n.settings.node.service, describe_arrival_refusal(t.n, asked, why));
     t.out.emplace_back(
@@ -75,8 +75,8 @@
 /// \returns whether the call was handled as a repeat
 bool join_call_in_flight(step_context &t, const call_arrived &e)
 {
-    auto entered = t.n.entered.find(e.request.request_id);
-    if (!t.n.guards.join_repeats || entered == t.n.entered.end()) {
+    auto entered = t.n.calls_by_request_id.find(e.request.request_id);
+    if (!t.n.guards.join_repeats || entered == t.n.calls_by_request_id.end()) {
         return false;
     }
     pending_call &call = t.n.calls.at(entered->second);
@@ -89,7 +89,7 @@
     }
     ++t.n.counters.repeats_joined;
     call.waiters.push_back(e.call);
-    t.n.joined[e.call] = call.id;
+    t.n.joined_repeats[e.call] = call.id;
     return true;
 }
 
@@ -131,12 +131,12 @@
     const pending_call &call = found->second;
     note_event(t.n.events, t.now, event_kind::call_taken, call.request.request_id,
                call.request.service, call.request.operation);
-    earn_retry(t.n.budgets[call.request.service],
-               t.n.bundles.in_force->content.limits.retry_budget_percent);
+    add_retry_tokens(t.n.budgets[call.request.service],
+                     t.n.bundles.in_force->content.limits.retry_budget_percent);
     t.n.call_deadlines.emplace(call.deadline, id);
     if (!call.parent && !call.request.non_idempotent) {
         // Repeats of non-idempotent calls are matched by their key instead.
-        t.n.entered.try_emplace(call.request.request_id, id);
+        t.n.calls_by_request_id.try_emplace(call.request.request_id, id);
     }
     if (!call.parent) {
         if (auto by = find_refusing_service(t, call.request)) {
@@ -180,21 +180,21 @@
     if (call.current) {
         attempt last = *call.current;
         cancel_attempt(t, last);
-        note_ended(t.n.routes, last.instance);
+        record_abandoned(t.n.routes, last.instance);
     }
     erase_call(t, call);
 }
 
 void on_call_abandoned(step_context &t, call_ref id)
 {
-    auto repeat = t.n.joined.find(id);
-    auto found = t.n.calls.find(repeat == t.n.joined.end() ? id : repeat->second);
+    auto repeat = t.n.joined_repeats.find(id);
+    auto found = t.n.calls.find(repeat == t.n.joined_repeats.end() ? id : repeat->second);
     if (found == t.n.calls.end()) {
         return;
     }
     std::vector<call_ref> &waiters = found->second.waiters;
     waiters.erase(std::remove(waiters.begin(), waiters.end(), id), waiters.end());
-    t.n.joined.erase(id);
+    t.n.joined_repeats.erase(id);
     if (waiters.empty()) {
         cancel_call(t, found->first);
     }
@@ -210,8 +210,8 @@
         if (call.current) {
             reply.outcome = wire::outcome::unknown;
             attempt last = *call.current;
-            note_answered(t.n.routes, last.instance, t.now - last.sent_at);
-            t.n.attempts.erase(last.correlation);
+            record_answer(t.n.routes, last.instance, t.now - last.sent_at);
+            t.n.calls_by_attempt.erase(last.correlation);
             call.current.reset();
             cancel_attempt(t, last);
         }
--- a/gullstall/src/node/event.hpp
+++ b/gullstall/src/node/event.hpp
@@ -18,7 +18,7 @@
 using body_bytes = std::vector<std::uint8_t>;
 
 /// A call as requested by a caller or by the local worker.
-struct caller_call
+struct call_request
 {
     std::string service;
     std::string operation;
@@ -29,19 +29,19 @@
     body_bytes body;
     std::uint32_t attempt = 0;  ///< the caller's attempt number for this key, from 1; 0 if unknown
 
-    bool operator==(const caller_call &) const = default;
+    bool operator==(const call_request &) const = default;
 };
 
 /// A caller or the local worker requests a call.
 struct call_arrived
 {
     call_ref call;
-    caller_call request;
+    call_request request;
 };
 
 /// A caller requests an idempotency key. The answer is that of a call with the
 /// key as its body.
-struct key_asked
+struct key_requested
 {
     call_ref call;
 };
@@ -102,7 +102,7 @@
     std::vector<std::uint64_t> unsent;
 };
 
-/// The platform's answer to an ask_platform action.
+/// The platform's answer to a request_platform action.
 struct platform_answered
 {
     platform_ref request;
@@ -110,7 +110,7 @@
 };
 
 /// A request on the admin port.
-struct admin_asked
+struct admin_requested
 {
     admin_ref question;
     std::string target;  ///< path and query
@@ -130,9 +130,10 @@
 constexpr duration tick_interval = milliseconds(5);
 
 /// Any event that step() processes.
-using event = std::variant<call_arrived, key_asked, call_abandoned, worker_answered,
-                           worker_announced, worker_leaving, frame_arrived, peer_unreachable,
-                           platform_answered, admin_asked, stop_requested, tick, worker_checked>;
+using event =
+    std::variant<call_arrived, key_requested, call_abandoned, worker_answered, worker_announced,
+                 worker_leaving, frame_arrived, peer_unreachable, platform_answered,
+                 admin_requested, stop_requested, tick, worker_checked>;
 
 }  // namespace gullstall
 
--- a/gullstall/src/node/explain.cpp
+++ b/gullstall/src/node/explain.cpp
@@ -42,14 +42,14 @@
         format_field("priority", it.class_priority) + format_field("rank", it.rank) +
         format_field("request_level", make_priority(it.class_priority, it.rank).value) +
         format_field("bundle", it.bundle_version) + format_field("tried", call.tried.size());
-    auto heard = n.touches.levels.find(reply.refused_by);
-    if (heard != n.touches.levels.end()) {
+    auto heard = n.touched_services.levels.find(reply.refused_by);
+    if (heard != n.touched_services.levels.end()) {
         out += format_field("admitted_level", static_cast<std::uint64_t>(heard->second.average));
     }
     return out;
 }
 
-std::string describe_arrival_refusal(const node &n, const caller_call &asked, wire::refusal why)
+std::string describe_arrival_refusal(const node &n, const call_request &asked, wire::refusal why)
 {
     return std::string("reason=") + wire::EnumNamerefusal(why) +
            format_field("service", asked.service) + format_field("operation", asked.operation) +
--- a/gullstall/src/node/internal.hpp
+++ b/gullstall/src/node/internal.hpp
@@ -110,10 +110,10 @@
 // explain.cpp: descriptions of refusals, read by `gullstall explain`
 std::string describe_refusal(const node &n, const pending_call &call,
                              const wire::reply_message &reply);
-std::string describe_arrival_refusal(const node &n, const caller_call &asked, wire::refusal why);
+std::string describe_arrival_refusal(const node &n, const call_request &asked, wire::refusal why);
 
 // suspect_control.cpp: requests suspected of crashing workers
-std::string suspect_id_of(const caller_call &asked);
+std::string suspect_id_of(const call_request &asked);
 bool is_refused_suspect(step_context &t, wire::call_message &request);
 void on_run_lost(step_context &t, const active_run &run);
 void on_run_answered(step_context &t, const active_run &run);
@@ -123,7 +123,7 @@
 bool requires_exclusive_worker(const node &n, const wire::call_message &call);
 
 // admin.cpp: pages of the admin port
-void on_admin_asked(step_context &t, const admin_asked &e);
+void on_admin_asked(step_context &t, const admin_requested &e);
 
 // send.cpp: helpers that emit actions
 void send_to(step_context &t, const std::string &instance, wire::frame_message frame);
--- a/gullstall/src/node/member_control.cpp
+++ b/gullstall/src/node/member_control.cpp
@@ -40,9 +40,9 @@
     note_event(t.n.events, t.now, event_kind::member_changed, "", change.instance,
                wire::EnumNamemember_state(change.after));
     if (change.after == member_state::leaving) {
-        note_leaving(t.n.routes, change.instance, t.now);
+        record_draining(t.n.routes, change.instance, t.now);
     } else if (change.after == member_state::alive && change.before == member_state::leaving) {
-        note_returned(t.n.routes, change.instance);
+        clear_draining(t.n.routes, change.instance);
     }
 }
 
@@ -310,7 +310,7 @@
     turns.worker_silent = !e.reachable;
     note_event(t.n.events, t.now, event_kind::worker_lost, "", t.n.settings.node.instance,
                e.reachable ? "takes connections again" : "takes no connections");
-    if (t.n.stopping || t.n.worker_leaves || t.n.slots == 0) {
+    if (t.n.stopping || t.n.worker_draining || t.n.slots == 0) {
         return;
     }
     // If a worker crashes without a leave notice, its node is still alive and
--- a/gullstall/src/node/node.hpp
+++ b/gullstall/src/node/node.hpp
@@ -47,10 +47,10 @@
     std::optional<attempt> current;
     std::vector<std::string> tried;
     /// Until then a call issued by a run waits for an upstream of its service.
-    std::optional<time_point> waits_until;
+    std::optional<time_point> upstream_wait_deadline;
     bool may_have_run = false;      ///< an attempt ended with an unknown outcome
     std::vector<call_ref> waiters;  ///< callers to answer, including those that repeated the call
-    bool settled = false;           ///< the stored record of its key gives the outcome
+    bool outcome_known = false;     ///< the stored record of its key gives the outcome
     std::optional<std::pair<std::string, std::uint64_t>>
         origin;  ///< sender and its correlation, if
                  ///< forwarded to the key's issuer
@@ -66,8 +66,8 @@
     time_point queued_at{};
     std::optional<time_point> started_at;
     allowance retries{};
-    std::set<call_ref> children;                     ///< unanswered calls issued by the run
-    std::map<std::string, admission_level> touched;  ///< services reached by the run's calls
+    std::set<call_ref> child_calls;                         ///< unanswered calls issued by the run
+    std::map<std::string, admission_level> reached_levels;  ///< services reached by the run's calls
 };
 
 /// Batch of claims that was sent to the claim writer of the zone.
@@ -96,7 +96,7 @@
     std::uint64_t calls_answered = 0;
     std::uint64_t calls_resent = 0;
     std::uint64_t repeats_joined = 0;
-    std::uint64_t contexts_unknown = 0;
+    std::uint64_t unknown_contexts = 0;
     std::uint64_t runs_started = 0;
     std::uint64_t runs_lost = 0;
     std::map<std::string, std::uint64_t> refusals;  ///< by reason and class
@@ -107,7 +107,8 @@
 {
     bool divide_allowance = true;  ///< if false, every call gets a copy of the allowance
     bool join_repeats = true;      ///< if false, a repeat of a call in flight runs separately
-    bool calls_wait = true;        ///< if false, calls of runs fail at once when no upstream exists
+    bool wait_for_upstreams =
+        true;  ///< if false, calls of runs fail at once when no upstream exists
 };
 
 /// State of one node. It owns no sockets, threads or clocks.
@@ -128,42 +129,43 @@
     level_control level;
     run_queue queue;
     run_times times;
-    touch_table touches;
+    dependency_table touched_services;
     std::map<std::string, retry_budget> budgets;  ///< by service
     timeline events;
     node_counters counters;
     node_latencies latencies;
-    once_book once;
+    once_book idempotency;
     suspect_table suspects;
-    std::deque<run_ref> alone_waiting;  ///< queued runs that need the worker exclusively
-    std::optional<run_ref> alone;       ///< run that currently has the worker exclusively
+    std::deque<run_ref> exclusive_waiting;  ///< queued runs that need the worker exclusively
+    std::optional<run_ref> exclusive_run;   ///< run that currently has the worker exclusively
     claim_group claims;  ///< claims of the zone's nodes, when this node is the writer
-    std::map<std::uint64_t, forwarded_claims> claims_forwarded;  ///< by batch
-    time_point claims_alone_until{};  ///< until then the node commits its own claims
+    std::map<std::uint64_t, forwarded_claims> forwarded_batches;  ///< by batch
+    time_point direct_commit_until{};  ///< until then the node commits its own claims
     std::unordered_map<platform_ref, std::uint64_t> claim_commits;  ///< group number of each commit
     std::unordered_map<platform_ref, table_read> claim_reads;
 
     std::unordered_map<call_ref, pending_call> calls;
     std::vector<call_ref>
-        waiting_calls;  ///< calls that wait for an upstream; may hold calls that ended
+        calls_awaiting_upstream;  ///< calls that wait for an upstream; may hold calls that ended
     std::unordered_map<std::string, call_ref>
-        entered;  ///< by request id; without calls of the local worker
+        calls_by_request_id;  ///< by request id; without calls of the local worker
     std::unordered_map<call_ref, call_ref>
-        joined;  ///< from a repeat to the call whose answer it gets
-    std::unordered_map<std::uint64_t, call_ref> attempts;  ///< by correlation
+        joined_repeats;  ///< from a repeat to the call whose answer it gets
+    std::unordered_map<std::uint64_t, call_ref> calls_by_attempt;  ///< by correlation
     std::multimap<time_point, call_ref> call_deadlines;
     std::unordered_map<run_ref, active_run> runs;
-    std::map<std::pair<std::string, std::uint64_t>, run_ref> served;  ///< by origin, correlation
+    std::map<std::pair<std::string, std::uint64_t>, run_ref>
+        runs_by_origin;  ///< by origin, correlation
     std::multimap<time_point, run_ref> run_deadlines;
-    std::unordered_map<platform_ref, platform_purpose> platform_waiting;
+    std::unordered_map<platform_ref, platform_purpose> pending_platform_requests;
 
     std::uint32_t slots = 0;  ///< slots of the local worker; 0 until it has registered
     std::uint32_t slots_used = 0;
-    bool worker_leaves = false;
+    bool worker_draining = false;
     bool stopping = false;
     bool stopped = false;
-    time_point settle_until{};   ///< how long a stop waits for unwritten outcomes
-    time_point stop_asked_at{};  ///< valid when stopping
+    time_point outcome_write_deadline{};  ///< how long a stop waits for unwritten outcomes
+    time_point stop_requested_at{};       ///< valid when stopping
     std::uint64_t last_id = 0;
 };
 
--- a/gullstall/src/node/once_control.cpp
+++ b/gullstall/src/node/once_control.cpp
@@ -47,7 +47,7 @@
             start_call(t, order.call);
             continue;
         }
-        found->second.settled = true;
+        found->second.outcome_known = true;
         wire::reply_message reply;
         if (order.what == once_order::kind::remember) {
             reply = reply_from_row(order.row);
@@ -65,7 +65,8 @@
 std::optional<std::string> find_other_issuer(const node &n, const std::string &key)
 {
     std::optional<issued_key> parts = parse_issued_key(key);
-    if (!parts || parts->instance == n.settings.node.instance || !n.once.guards.issuer_only) {
+    if (!parts || parts->instance == n.settings.node.instance ||
+        !n.idempotency.guards.issuer_only) {
         return std::nullopt;
     }
     auto known = n.members.members.find(parts->instance);
@@ -96,7 +97,7 @@
                          "",
                          {}};
     if (t.n.bundles.in_force && !t.n.stopping) {
-        std::string key = issue_key(t.n.once, t.now);
+        std::string key = issue_key(t.n.idempotency, t.now);
         answer.outcome = wire::outcome::ran;
         answer.refusal = wire::refusal::none;
         answer.status = http_ok;
@@ -109,15 +110,15 @@
 void on_once_tick(step_context &t)
 {
     if (t.n.bundles.in_force) {
-        t.n.once.memory = milliseconds(t.n.bundles.in_force->content.limits.key_memory_ms);
+        t.n.idempotency.memory = milliseconds(t.n.bundles.in_force->content.limits.key_memory_ms);
     }
     expire_forwarded(t);
     flush_claims(t);
-    if (std::optional<table_read> read = next_claim_read(t.n.once, t.now)) {
+    if (std::optional<table_read> read = next_claim_read(t.n.idempotency, t.now)) {
         platform_ref id = send_platform_request(t, platform_purpose::claim_read, *read);
         t.n.claim_reads[id] = std::move(*read);
     }
-    forget_keys(t.n.once, t.now);
+    forget_keys(t.n.idempotency, t.now);
 }
 
 void accept_once_call(step_context &t, call_ref id)
@@ -132,7 +133,7 @@
     }
     const wire::call_message &request = call.request;
     once_orders orders;
-    take_ticket(t.n.once, request.key,
+    take_ticket(t.n.idempotency, request.key,
                 once_ticket{id, request.attempt,
                             digest_of_request(request.service, request.operation, request.body),
                             call.deadline},
@@ -147,13 +148,13 @@
     if (!request.non_idempotent || request.key.empty()) {
         return;
     }
-    bool certain = call.settled || holds_claim(t.n.once, call.id) ||
-                   knows_not_run(t.n.once, request.key, request.attempt);
+    bool certain = call.outcome_known || holds_claim(t.n.idempotency, call.id) ||
+                   knows_not_run(t.n.idempotency, request.key, request.attempt);
     if (reply.outcome == wire::outcome::not_run && !certain) {
         reply.outcome = wire::outcome::unknown;
     }
     once_orders orders;
-    end_ticket(t.n.once, call.id,
+    end_ticket(t.n.idempotency, call.id,
                once_end{reply.outcome, reply.status, reply.content_type, reply.body, reply.refusal},
                t.now, orders);
     apply_once_orders(t, orders);
@@ -187,7 +188,7 @@
 void handle_batch_answer(step_context &t, std::uint64_t batch, const platform_answer &answer)
 {
     once_orders orders;
-    take_claim_answer(t.n.once, batch, answer, t.now, orders);
+    take_claim_answer(t.n.idempotency, batch, answer, t.now, orders);
     apply_once_orders(t, orders);
 }
 
@@ -197,7 +198,7 @@
     table_read asked = std::move(found->second);
     t.n.claim_reads.erase(found);
     once_orders orders;
-    take_claim_rows(t.n.once, asked, answer, t.now, orders);
+    take_claim_rows(t.n.idempotency, asked, answer, t.now, orders);
     apply_once_orders(t, orders);
     flush_claims(t);
 }
--- a/gullstall/src/node/send.cpp
+++ b/gullstall/src/node/send.cpp
@@ -15,8 +15,8 @@
 platform_ref send_platform_request(step_context &t, platform_purpose purpose, platform_request what)
 {
     auto id = platform_ref{next_id(t.n)};
-    t.n.platform_waiting[id] = purpose;
-    t.out.emplace_back(ask_platform{id, std::move(what)});
+    t.n.pending_platform_requests[id] = purpose;
+    t.out.emplace_back(request_platform{id, std::move(what)});
     return id;
 }
 
--- a/gullstall/src/node/serve.cpp
+++ b/gullstall/src/node/serve.cpp
@@ -12,7 +12,7 @@
               const std::map<std::string, admission_level> &touched)
 {
     const std::string &self = t.n.settings.node.instance;
-    reply.leaving = t.n.stopping || t.n.worker_leaves || t.n.contacts.worker_silent;
+    reply.leaving = t.n.stopping || t.n.worker_draining || t.n.contacts.worker_silent;
     reply.running = t.n.slots_used;
     reply.wait_us = static_cast<std::uint32_t>(expected_wait(t.n).count());
     reply.touched.push_back(t.n.settings.node.service);
@@ -47,10 +47,10 @@
     auto found = t.n.runs.find(id);
     active_run run = std::move(found->second);
     t.n.runs.erase(found);
-    t.n.served.erase({run.origin, run.call.correlation});
-    std::erase(t.n.alone_waiting, id);
-    if (t.n.alone == id) {
-        t.n.alone.reset();
+    t.n.runs_by_origin.erase({run.origin, run.call.correlation});
+    std::erase(t.n.exclusive_waiting, id);
+    if (t.n.exclusive_run == id) {
+        t.n.exclusive_run.reset();
     }
     auto [begin, end] = t.n.run_deadlines.equal_range(run.deadline);
     for (auto it = begin; it != end; ++it) {
@@ -68,7 +68,7 @@
     run.started_at = t.now;
     ++t.n.slots_used;
     ++t.n.counters.runs_started;
-    note_wait(t.n.level, t.now - run.queued_at);
+    record_wait(t.n.level, t.now - run.queued_at);
     note_latency(t.n.latencies.queue_wait, t.now - run.queued_at);
     note_event(t.n.events, t.now, event_kind::run_started, run.call.request_id,
                t.n.settings.node.instance, run.call.operation);
@@ -86,7 +86,7 @@
 /// \returns whether a slot is free and no run has or awaits the worker exclusively
 bool can_start_run(const node &n)
 {
-    return n.slots_used < n.slots && !n.alone && n.alone_waiting.empty();
+    return n.slots_used < n.slots && !n.exclusive_run && n.exclusive_waiting.empty();
 }
 
 /// \returns whether all started runs belong to the request \a suspect_id. A
@@ -103,12 +103,12 @@
 /// worker, no other request is in flight and becomes a suspect too.
 void start_suspect_runs(step_context &t)
 {
-    std::deque<run_ref> waiting = t.n.alone_waiting;
+    std::deque<run_ref> waiting = t.n.exclusive_waiting;
     for (run_ref id : waiting) {
         const std::string &suspect_id = t.n.runs.at(id).call.suspect_id;
         if (t.n.slots_used < t.n.slots && runs_only_request(t.n, suspect_id)) {
-            std::erase(t.n.alone_waiting, id);
-            t.n.alone = t.n.alone.value_or(id);
+            std::erase(t.n.exclusive_waiting, id);
+            t.n.exclusive_run = t.n.exclusive_run.value_or(id);
             start_run(t, id);
         }
     }
@@ -133,7 +133,7 @@
 /// Cancels the calls that the run has issued.
 void cancel_child_calls(step_context &t, const active_run &run)
 {
-    std::set<call_ref> children = run.children;
+    std::set<call_ref> children = run.child_calls;
     for (call_ref child : children) {
         cancel_call(t, child);
     }
@@ -239,11 +239,11 @@
     run.retries.left = call.allowance;
     run.call = std::move(call);
     waiting_run waiting = make_waiting_run(t.n, run);
-    t.n.served[{from, run.call.correlation}] = id;
+    t.n.runs_by_origin[{from, run.call.correlation}] = id;
     t.n.run_deadlines.emplace(run.deadline, id);
     t.n.runs.emplace(id, std::move(run));
     if (requires_exclusive_worker(t.n, t.n.runs.at(id).call)) {
-        t.n.alone_waiting.push_back(id);
+        t.n.exclusive_waiting.push_back(id);
         start_queued(t);
         return;
     }
@@ -258,7 +258,7 @@
 
 void refuse_long_waiting(step_context &t)
 {
-    while (std::optional<run_ref> oldest = first_common(t.n.queue)) {
+    while (std::optional<run_ref> oldest = first_unprotected(t.n.queue)) {
         if (t.now - t.n.runs.at(*oldest).queued_at <= max_unprotected_wait) {
             return;
         }
@@ -269,8 +269,8 @@
 
 void on_cancel(step_context &t, const std::string &from, std::uint64_t correlation)
 {
-    auto found = t.n.served.find({from, correlation});
-    if (found == t.n.served.end() || !t.n.rules.cancel_below) {
+    auto found = t.n.runs_by_origin.find({from, correlation});
+    if (found == t.n.runs_by_origin.end() || !t.n.rules.propagate_cancellation) {
         return;
     }
     cancel_run(t, found->second);
@@ -283,8 +283,8 @@
 void on_origin_lost(step_context &t, const std::string &origin)
 {
     std::vector<run_ref> lost;
-    for (auto it = t.n.served.lower_bound({origin, 0});
-         it != t.n.served.end() && it->first.first == origin; ++it) {
+    for (auto it = t.n.runs_by_origin.lower_bound({origin, 0});
+         it != t.n.runs_by_origin.end() && it->first.first == origin; ++it) {
         const active_run &run = t.n.runs.at(it->second);
         if (!run.started_at || !run.call.non_idempotent) {
             lost.push_back(it->second);
@@ -305,10 +305,10 @@
     active_run run = erase_run(t, e.run);
     --t.n.slots_used;
     if (e.end == worker_end::answered) {
-        learn_run_time(t.n.times, run.call.operation, t.now - run.started_at.value_or(t.now));
+        record_run_time(t.n.times, run.call.operation, t.now - run.started_at.value_or(t.now));
     }
     on_worker_end(t, e.end);
-    note_finished(t.n.level, t.now - run.started_at.value_or(t.now));
+    record_completion(t.n.level, t.now - run.started_at.value_or(t.now));
     t.n.counters.runs_lost += e.end == worker_end::lost ? 1 : 0;
     if (e.end == worker_end::lost) {
         on_run_lost(t, run);
@@ -318,16 +318,16 @@
     note_latency(t.n.latencies.run, t.now - *run.started_at);
     note_event(t.n.events, t.now, event_kind::run_finished, run.call.request_id,
                t.n.settings.node.instance, std::to_string(e.status));
-    reply_to(t, run.origin, make_reply(run, e, t.n.settings.node.service), run.touched);
+    reply_to(t, run.origin, make_reply(run, e, t.n.settings.node.service), run.reached_levels);
     start_queued(t);
 }
 
 void expire_runs(step_context &t)
 {
-    while (t.n.rules.cancel_below && !t.n.run_deadlines.empty() &&
+    while (t.n.rules.propagate_cancellation && !t.n.run_deadlines.empty() &&
            t.n.run_deadlines.begin()->first <= t.now) {
         run_ref id = t.n.run_deadlines.begin()->second;
-        std::size_t open_calls = t.n.runs.at(id).children.size();
+        std::size_t open_calls = t.n.runs.at(id).child_calls.size();
         active_run run = cancel_run(t, id);
         log_expired(t, run, open_calls);
         wire::reply_message reply;
@@ -336,7 +336,7 @@
         reply.refusal = wire::refusal::deadline;
         reply.refused_by = t.n.settings.node.service;
         reply.unspent = run.retries.left;
-        reply_to(t, run.origin, std::move(reply), run.touched);
+        reply_to(t, run.origin, std::move(reply), run.reached_levels);
     }
     start_queued(t);
 }
--- a/gullstall/src/node/step.cpp
+++ b/gullstall/src/node/step.cpp
@@ -42,7 +42,7 @@
     {
         internal::on_call_arrived(t, e);
     }
-    void operator()(key_asked &e) const
+    void operator()(key_requested &e) const
     {
         internal::on_key_asked(t, e.call);
     }
@@ -77,7 +77,7 @@
     {
         internal::on_platform_answered(t, e);
     }
-    void operator()(admin_asked &e) const
+    void operator()(admin_requested &e) const
     {
         internal::on_admin_asked(t, e);
     }
@@ -109,8 +109,8 @@
     // may still be answered, and its reply would be matched to another call.
     out.last_id = incarnation;
     out.random.seed(seed);
-    out.queue.limit = settings.worker.slots;
-    out.queue.bound = settings.worker.slots;
+    out.queue.hard_limit = settings.worker.slots;
+    out.queue.soft_limit = settings.worker.slots;
     member self;
     self.instance = settings.node.instance;
     self.zone = settings.node.zone;
@@ -122,11 +122,11 @@
     self.incarnation = incarnation;
     self.state = wire::member_state::leaving;  // until the worker has registered
     out.members.members[self.instance] = self;
-    out.once.instance = self.instance;
-    out.once.incarnation = incarnation;
+    out.idempotency.instance = self.instance;
+    out.idempotency.incarnation = incarnation;
     // Batch numbers of an earlier process are lower: a late answer to one of them
     // would otherwise be taken for the answer to a new claim.
-    out.once.writer.last_batch = incarnation;
+    out.idempotency.writer.last_batch = incarnation;
     gossip_limits limits;
     limits.probe_interval = milliseconds(settings.membership.gossip_interval_ms);
     out.gossip = make_gossip(self.instance, out.members, limits);
