--- a/gullstall/src/node/suspect_control.cpp
+++ b/gullstall/src/node/suspect_control.cpp
@@ -32,15 +32,15 @@
 
 void mark_suspect(step_context &t, const std::string &request, const crash &what)
 {
-    if (note_suspect(t.n.suspects, request, what, t.now)) {
-        tell_suspect(t.n.suspects, request, what);
+    if (record_suspect(t.n.suspects, request, what, t.now)) {
+        add_pending_report(t.n.suspects, request, what);
         note_event(t.n.events, t.now, event_kind::suspect_marked, request, what.name, "");
     }
 }
 
 }  // namespace
 
-std::string suspect_id_of(const caller_call &asked)
+std::string suspect_id_of(const call_request &asked)
 {
     if (!asked.request_id.empty()) {
         return asked.request_id;
@@ -58,20 +58,20 @@
 {
     std::size_t known = crashes_of(t.n.suspects, request.suspect_id);
     request.suspicion = std::max(request.suspicion, static_cast<std::uint8_t>(known));
-    return t.n.suspects.refuse_crashers && request.suspicion >= crashes_to_refuse;
+    return t.n.suspects.refuse_suspects && request.suspicion >= crashes_to_refuse;
 }
 
 void on_run_lost(step_context &t, const active_run &run)
 {
     mark_suspect(t, run.call.suspect_id,
-                 own_crash(t.n.suspects, t.n.settings.node.instance, t.n.incarnation, t.now));
+                 local_crash(t.n.suspects, t.n.settings.node.instance, t.n.incarnation, t.now));
 }
 
 void on_run_answered(step_context &t, const active_run &run)
 {
     bool was_suspect = clear_suspect(t.n.suspects, run.call.suspect_id);
     if (was_suspect || run.call.suspicion > 0) {
-        t.n.suspects.cleared_to_tell.push_back(run.call.suspect_id);
+        t.n.suspects.pending_clearances.push_back(run.call.suspect_id);
     }
 }
 
@@ -86,7 +86,7 @@
 
 void on_suspect_tick(step_context &t)
 {
-    for (const suspect_report &it : t.n.suspects.to_tell) {
+    for (const suspect_report &it : t.n.suspects.pending_reports) {
         wire::suspect_news_message news;
         news.request_ids = it.requests;
         news.crash = it.what.name;
@@ -94,14 +94,14 @@
         news.lost_incarnation = it.what.incarnation;
         broadcast(t, news);
     }
-    t.n.suspects.to_tell.clear();
-    if (!t.n.suspects.cleared_to_tell.empty()) {
+    t.n.suspects.pending_reports.clear();
+    if (!t.n.suspects.pending_clearances.empty()) {
         wire::suspect_news_message news;
-        news.cleared = std::move(t.n.suspects.cleared_to_tell);
-        t.n.suspects.cleared_to_tell.clear();
+        news.cleared = std::move(t.n.suspects.pending_clearances);
+        t.n.suspects.pending_clearances.clear();
         broadcast(t, news);
     }
-    judge_suspects(t.n.suspects, t.now, [&](const std::string &instance) {
+    prune_suspects(t.n.suspects, t.now, [&](const std::string &instance) {
         return has_live_zone_member(t.n, instance);
     });
 }
@@ -113,8 +113,8 @@
         return;
     }
     for (const std::string &request : news->request_ids) {
-        note_suspect(t.n.suspects, request,
-                     crash{news->crash, news->lost_peer, news->lost_incarnation}, t.now);
+        record_suspect(t.n.suspects, request,
+                       crash{news->crash, news->lost_peer, news->lost_incarnation}, t.now);
     }
     for (const std::string &request : news->cleared) {
         clear_suspect(t.n.suspects, request);
@@ -123,7 +123,7 @@
 
 bool requires_exclusive_worker(const node &n, const wire::call_message &call)
 {
-    return n.suspects.run_alone && call.suspicion > 0;
+    return n.suspects.isolate_suspects && call.suspicion > 0;
 }
 
 }  // namespace gullstall::internal
--- a/gullstall/src/overload/level_control.cpp
+++ b/gullstall/src/overload/level_control.cpp
@@ -95,7 +95,8 @@
         return;
     }
     double mean = static_cast<double>(control.total_hold_time.count()) / control.finished;
-    control.held_us += (control.held_us == 0 ? 1 : smoothing_factor) * (mean - control.held_us);
+    control.mean_hold_us +=
+        (control.mean_hold_us == 0 ? 1 : smoothing_factor) * (mean - control.mean_hold_us);
 }
 
 void update_by_queue_target(level_control &control, const queue_state &queue)
@@ -104,12 +105,12 @@
     bool waited = queue.waiting > 0 || (control.wait_count > 0 &&
                                         control.total_wait / control.wait_count > negligible_wait);
     end_window(control.demand, control.level);
-    if (!queue.drain_by_slots && waited) {
+    if (!queue.drain_rate_by_hold_time && waited) {
         control.drain_rate += (control.drain_rate == 0 ? 1 : smoothing_factor) *
                               (control.finished - control.drain_rate);
-    } else if (queue.drain_by_slots && control.held_us > 0) {
+    } else if (queue.drain_rate_by_hold_time && control.mean_hold_us > 0) {
         control.drain_rate =
-            queue.slots * static_cast<double>(queue_target_window.count()) / control.held_us;
+            queue.slots * static_cast<double>(queue_target_window.count()) / control.mean_hold_us;
     }
     if (!waited) {
         control.admission_rate = std::max({control.admission_rate, control.drain_rate,
@@ -139,7 +140,8 @@
 
 }  // namespace
 
-void note_arrival(level_control &control, priority of_request, bool is_protected, bool was_admitted)
+void record_arrival(level_control &control, priority of_request, bool is_protected,
+                    bool was_admitted)
 {
     ++control.arrivals[of_request.value];
     record_demand(control.demand, of_request);
@@ -150,13 +152,13 @@
     }
 }
 
-void note_wait(level_control &control, duration wait)
+void record_wait(level_control &control, duration wait)
 {
     control.total_wait += wait;
     ++control.wait_count;
 }
 
-void note_finished(level_control &control, duration held)
+void record_completion(level_control &control, duration held)
 {
     ++control.finished;
     control.total_hold_time += held;
@@ -189,7 +191,7 @@
                     *std::max_element(control.level_history.begin(), control.level_history.end()));
 }
 
-std::size_t queue_bound(const level_control &control, std::uint32_t slots)
+std::size_t soft_queue_limit(const level_control &control, std::uint32_t slots)
 {
     double by_drain_rate = max_queue_in_targets * target_queue_length(control);
     return std::max<std::size_t>(slots / 4 + 1, static_cast<std::size_t>(by_drain_rate));
--- a/gullstall/src/overload/level_control.hpp
+++ b/gullstall/src/overload/level_control.hpp
@@ -31,7 +31,7 @@
     std::uint32_t admitted = 0;
     std::uint32_t finished = 0;
     duration total_hold_time{};  ///< slot hold time of the finished requests
-    double held_us = 0;          ///< moving average of the slot hold time of a run
+    double mean_hold_us = 0;     ///< moving average of the slot hold time of a run
     double drain_rate = 0;       ///< drain rate of the slots, requests per window
     double admission_rate = 0;   ///< target admission rate, requests per window
     demand_estimate demand;
@@ -47,7 +47,7 @@
     std::size_t protected_waiting;
     double protected_targets;  ///< target queue of protected calls, in target delays
     std::uint32_t slots;
-    bool drain_by_slots;
+    bool drain_rate_by_hold_time;
 };
 
 /// Target queueing delay while requests are refused: short, but long enough
@@ -55,14 +55,14 @@
 constexpr duration target_queue_delay = milliseconds(20);
 
 /// Records the arrival of a request, admitted or not.
-void note_arrival(level_control &control, priority of_request, bool is_protected,
-                  bool was_admitted);
+void record_arrival(level_control &control, priority of_request, bool is_protected,
+                    bool was_admitted);
 
 /// Records the time that a request waited for a slot.
-void note_wait(level_control &control, duration wait);
+void record_wait(level_control &control, duration wait);
 
 /// Records that a request was answered after it \a held a slot.
-void note_finished(level_control &control, duration held);
+void record_completion(level_control &control, duration held);
 
 /// Updates the level at the end of a window.
 /// \returns whether a window has ended
@@ -74,7 +74,7 @@
 
 /// \returns the number of requests that may wait for \a slots before new ones
 /// are refused, derived from the drain rate
-std::size_t queue_bound(const level_control &control, std::uint32_t slots);
+std::size_t soft_queue_limit(const level_control &control, std::uint32_t slots);
 
 }  // namespace gullstall
 
--- a/gullstall/src/overload/rules.hpp
+++ b/gullstall/src/overload/rules.hpp
@@ -19,14 +19,15 @@
 struct overload_rules
 {
     level_rule level = level_rule::queue_target;
-    bool by_priority = true;   ///< queue ordered by priority, otherwise by arrival
-    bool cancel_below = true;  ///< calls without a waiting caller are cancelled upstream
-    bool keep_worked = true;   ///< requests that used slots at callers are exempt from the level
+    bool priority_queueing = true;       ///< queue ordered by priority, otherwise by arrival
+    bool propagate_cancellation = true;  ///< calls without a waiting caller are cancelled upstream
+    bool exempt_prior_work =
+        true;  ///< requests that used slots at callers are exempt from the level
     /// Protected calls have a longer queue target, which their level follows.
-    bool protected_target = true;
+    bool separate_protected_target = true;
 
-    bool drain_by_slots = true;   ///< computes the drain rate from the slot hold time
-    bool refuse_hopeless = true;  ///< refuses requests that cannot finish before their deadline
+    bool drain_rate_by_hold_time = true;  ///< computes the drain rate from the slot hold time
+    bool refuse_unfinishable = true;  ///< refuses requests that cannot finish before their deadline
 
     auto operator<=>(const overload_rules &) const = default;
 };
--- a/gullstall/src/overload/run_queue.cpp
+++ b/gullstall/src/overload/run_queue.cpp
@@ -14,7 +14,8 @@
 
 bool removed_before(const waiting_run &a, const waiting_run &b)
 {
-    return !a.worked && !a.is_protected && (b.worked || b.is_protected || a.rank >= b.rank);
+    return !a.has_prior_work && !a.is_protected &&
+           (b.has_prior_work || b.is_protected || a.request_priority >= b.request_priority);
 }
 
 /// \returns the call to remove from a queue that is too long: the least important
@@ -35,14 +36,14 @@
 std::optional<run_ref> enqueue(run_queue &queue, const waiting_run &added)
 {
     bool first = queue.by_priority && added.is_protected;
-    std::uint16_t key = first ? added.rank.value / ranks_per_class : unprotected_key;
+    std::uint16_t key = first ? added.request_priority.value / ranks_per_class : unprotected_key;
     queue.waiting.emplace(key, added);
-    if (queue.waiting.size() <= std::min(queue.bound, queue.limit)) {
+    if (queue.waiting.size() <= std::min(queue.soft_limit, queue.hard_limit)) {
         return std::nullopt;
     }
     auto removable = find_removable(queue);
-    bool no_prior_work = !removable->second.worked && !removable->second.is_protected;
-    if (!no_prior_work && queue.waiting.size() <= queue.limit) {
+    bool no_prior_work = !removable->second.has_prior_work && !removable->second.is_protected;
+    if (!no_prior_work && queue.waiting.size() <= queue.hard_limit) {
         return std::nullopt;
     }
     run_ref removed = removable->second.run;
@@ -60,7 +61,7 @@
     return first;
 }
 
-std::optional<run_ref> first_common(const run_queue &queue)
+std::optional<run_ref> first_unprotected(const run_queue &queue)
 {
     auto first = queue.waiting.lower_bound(unprotected_key);
     return first == queue.waiting.end() ? std::nullopt : std::optional(first->second.run);
--- a/gullstall/src/overload/run_queue.hpp
+++ b/gullstall/src/overload/run_queue.hpp
@@ -15,9 +15,9 @@
 struct waiting_run
 {
     run_ref run;
-    priority rank;
+    priority request_priority;
     bool is_protected;
-    bool worked;  ///< slots at calling services were already used for it
+    bool has_prior_work;  ///< slots at calling services were already used for it
 
     bool operator==(const waiting_run &) const = default;
 };
@@ -30,8 +30,9 @@
 struct run_queue
 {
     std::multimap<std::uint16_t, waiting_run> waiting;  ///< by class; unprotected calls come last
-    std::size_t limit = 0;                              ///< maximum number of calls
-    std::size_t bound = 0;  ///< above it the least important call with no prior work is removed
+    std::size_t hard_limit = 0;                         ///< maximum number of calls
+    std::size_t soft_limit =
+        0;  ///< above it the least important call with no prior work is removed
     bool by_priority = true;
 };
 
@@ -44,7 +45,7 @@
 std::optional<run_ref> dequeue(run_queue &queue);
 
 /// \returns the longest waiting unprotected call
-std::optional<run_ref> first_common(const run_queue &queue);
+std::optional<run_ref> first_unprotected(const run_queue &queue);
 
 /// \returns the number of waiting protected calls, in linear time
 std::size_t protected_waiting(const run_queue &queue);
--- a/gullstall/src/overload/run_times.cpp
+++ b/gullstall/src/overload/run_times.cpp
@@ -16,7 +16,7 @@
 
 }  // namespace
 
-void learn_run_time(run_times &times, const std::string &operation, duration held)
+void record_run_time(run_times &times, const std::string &operation, duration held)
 {
     auto us = static_cast<double>(held.count());
     run_time &known = times.operations[operation];
--- a/gullstall/src/overload/run_times.hpp
+++ b/gullstall/src/overload/run_times.hpp
@@ -25,7 +25,7 @@
 };
 
 /// Records that a run of \a operation was answered after it \a held a slot.
-void learn_run_time(run_times &times, const std::string &operation, duration held);
+void record_run_time(run_times &times, const std::string &operation, duration held);
 
 /// \returns whether a call can finish within \a left when it waits for \a wait and
 /// then runs for half the mean time. Operations with few recorded runs always can:
--- a/gullstall/src/overload/touch_table.cpp
+++ b/gullstall/src/overload/touch_table.cpp
@@ -37,19 +37,21 @@
 
 bool would_refuse(const reported_level &reported, const entry_request &request, time_point now)
 {
-    if (request.rank.value <= estimated_level(reported, now)) {
+    if (request.request_priority.value <= estimated_level(reported, now)) {
         return false;
     }
     // The average lags. A protected call is refused only if it exceeds the average
     // by a margin and the latest reported level refuses it too.
-    bool beyond_margin = request.rank.value > estimated_level(reported, now) + protected_margin;
-    return !request.is_protected || (beyond_margin && !admits(reported.latest, request.rank));
+    bool beyond_margin =
+        request.request_priority.value > estimated_level(reported, now) + protected_margin;
+    return !request.is_protected ||
+           (beyond_margin && !admits(reported.latest, request.request_priority));
 }
 
 }  // namespace
 
-void learn_level(touch_table &table, const std::string &service, admission_level level,
-                 time_point now)
+void record_reported_level(dependency_table &table, const std::string &service,
+                           admission_level level, time_point now)
 {
     auto [entry, is_new] = table.levels.try_emplace(service);
     reported_level &reported = entry->second;
@@ -61,23 +63,24 @@
     reported.at = now;
 }
 
-void learn_touch(touch_table &table, const std::string &type, const std::string &service)
+void record_reached(dependency_table &table, const std::string &type, const std::string &service)
 {
-    auto [entry, is_new] = table.touched[type].try_emplace(service, 1.0);
+    auto [entry, is_new] = table.reach_shares[type].try_emplace(service, 1.0);
     entry->second += smoothing_factor * (1 - entry->second);
 }
 
-void learn_no_touch(touch_table &table, const std::string &type, const std::string &service)
+void record_not_reached(dependency_table &table, const std::string &type,
+                        const std::string &service)
 {
-    double &share = table.touched[type][service];
+    double &share = table.reach_shares[type][service];
     share -= smoothing_factor * share;
 }
 
-std::optional<std::string> refusing_service(const touch_table &table, const entry_request &request,
-                                            time_point now)
+std::optional<std::string> find_refusing_service(const dependency_table &table,
+                                                 const entry_request &request, time_point now)
 {
-    auto services = table.touched.find(request.type);
-    if (services == table.touched.end()) {
+    auto services = table.reach_shares.find(request.type);
+    if (services == table.reach_shares.end()) {
         return std::nullopt;
     }
     for (const auto &[service, share] : services->second) {
@@ -92,8 +95,8 @@
     return std::nullopt;
 }
 
-double classes_beyond(const touch_table &table, const std::string &service, priority of_request,
-                      time_point now)
+double classes_beyond(const dependency_table &table, const std::string &service,
+                      priority of_request, time_point now)
 {
     auto reported = table.levels.find(service);
     if (reported == table.levels.end()) {
--- a/gullstall/src/overload/touch_table.hpp
+++ b/gullstall/src/overload/touch_table.hpp
@@ -25,40 +25,41 @@
 /// type reach a service, and the admission level of each service. The entry node
 /// uses it to refuse requests that a service further down the call chain would
 /// refuse, before any work is done for them.
-struct touch_table
+struct dependency_table
 {
     /// Fraction of the calls of a type that reach a service: type -> service -> share.
-    std::map<std::string, std::map<std::string, double>> touched;
+    std::map<std::string, std::map<std::string, double>> reach_shares;
     std::map<std::string, reported_level> levels;  ///< by service
 };
 
 /// Records that a reply reported \a service to be at \a level.
-void learn_level(touch_table &table, const std::string &service, admission_level level,
-                 time_point now);
+void record_reported_level(dependency_table &table, const std::string &service,
+                           admission_level level, time_point now);
 
 /// Records that a call of \a type reached \a service.
-void learn_touch(touch_table &table, const std::string &type, const std::string &service);
+void record_reached(dependency_table &table, const std::string &type, const std::string &service);
 
 /// Records that a call of \a type completed without reaching \a service.
-void learn_no_touch(touch_table &table, const std::string &type, const std::string &service);
+void record_not_reached(dependency_table &table, const std::string &type,
+                        const std::string &service);
 
 /// Properties of a request that the entry node decides by.
 struct entry_request
 {
     std::string type;
-    priority rank;
+    priority request_priority;
     bool is_protected;
 };
 
 /// \returns a service that is expected to refuse the request, none when all are
 /// expected to admit it
-std::optional<std::string> refusing_service(const touch_table &table, const entry_request &request,
-                                            time_point now);
+std::optional<std::string> find_refusing_service(const dependency_table &table,
+                                                 const entry_request &request, time_point now);
 
 /// \returns the distance of the request from the level of \a service, in classes;
 /// 0 when the level is unknown or admits the request
-double classes_beyond(const touch_table &table, const std::string &service, priority of_request,
-                      time_point now);
+double classes_beyond(const dependency_table &table, const std::string &service,
+                      priority of_request, time_point now);
 
 }  // namespace gullstall
 
--- a/gullstall/src/policy/traffic_policy.cpp
+++ b/gullstall/src/policy/traffic_policy.cpp
@@ -67,7 +67,7 @@
     return nullptr;
 }
 
-const traffic_route *route_named(const traffic_policy &policy, std::string_view name)
+const traffic_route *find_route_by_name(const traffic_policy &policy, std::string_view name)
 {
     auto found = policy.routes_by_name.find(std::string(name));
     return found == policy.routes_by_name.end() ? nullptr : &policy.routes[found->second];
--- a/gullstall/src/policy/traffic_policy.hpp
+++ b/gullstall/src/policy/traffic_policy.hpp
@@ -14,7 +14,7 @@
 namespace gullstall {
 
 /// Whether requests of a route may run more than once.
-enum class repeatability
+enum class idempotency
 {
     idempotent,     ///< a request may run more than once
     non_idempotent  ///< a request runs at most once
@@ -35,7 +35,7 @@
     std::string name;
     std::string host;
     std::string prefix;  ///< begins and ends with a slash
-    repeatability repeats = repeatability::non_idempotent;
+    idempotency request_idempotency = idempotency::non_idempotent;
     duration timeout{};              ///< maximum time until the caller is answered
     duration latency_objective{};    ///< target time of an answer
     std::uint32_t priority = 0;      ///< 0 is the most important
@@ -95,7 +95,7 @@
                                 std::string_view target);
 
 /// \returns the route named \a name, nullptr when there is none
-const traffic_route *route_named(const traffic_policy &policy, std::string_view name);
+const traffic_route *find_route_by_name(const traffic_policy &policy, std::string_view name);
 
 }  // namespace gullstall
 
--- a/gullstall/src/retry/allowance.cpp
+++ b/gullstall/src/retry/allowance.cpp
@@ -16,7 +16,7 @@
     retries.left += std::min(share, unspent);
 }
 
-bool spend_retry(allowance &retries)
+bool take_retry(allowance &retries)
 {
     if (retries.left == 0) {
         return false;
--- a/gullstall/src/retry/allowance.hpp
+++ b/gullstall/src/retry/allowance.hpp
@@ -28,7 +28,7 @@
 
 /// Takes one retry out of the allowance.
 /// \returns false when the allowance is used up
-bool spend_retry(allowance &retries);
+bool take_retry(allowance &retries);
 
 }  // namespace gullstall
 
--- a/gullstall/src/retry/budget.cpp
+++ b/gullstall/src/retry/budget.cpp
@@ -13,12 +13,12 @@
 
 }  // namespace
 
-void earn_retry(retry_budget &budget, std::uint32_t percent)
+void add_retry_tokens(retry_budget &budget, std::uint32_t percent)
 {
     budget.tokens = std::min(max_tokens, budget.tokens + percent / percent_scale);
 }
 
-bool spend_budget(retry_budget &budget)
+bool take_retry_token(retry_budget &budget)
 {
     if (budget.tokens < 1) {
         return false;
--- a/gullstall/src/retry/budget.hpp
+++ b/gullstall/src/retry/budget.hpp
@@ -14,11 +14,11 @@
 };
 
 /// Adds \a percent of a token for the first attempt of a call.
-void earn_retry(retry_budget &budget, std::uint32_t percent);
+void add_retry_tokens(retry_budget &budget, std::uint32_t percent);
 
 /// Takes one token for a retry.
 /// \returns false when the budget is used up
-bool spend_budget(retry_budget &budget);
+bool take_retry_token(retry_budget &budget);
 
 }  // namespace gullstall
 
--- a/gullstall/src/route/router.cpp
+++ b/gullstall/src/route/router.cpp
@@ -189,7 +189,7 @@
         const upstream_record &record = record_of(routes, *upstream, now);
         bool tried = std::find(request.tried.begin(), request.tried.end(), upstream->instance) !=
                      request.tried.end();
-        if (!tried && now >= record.leaving_until) {
+        if (!tried && now >= record.draining_until) {
             out.push_back(candidate{upstream, &record});
         }
     }
@@ -229,12 +229,12 @@
     return best.chosen->upstream->instance;
 }
 
-void note_sent(router &routes, const std::string &instance)
+void record_sent(router &routes, const std::string &instance)
 {
     ++routes.upstreams[instance].in_flight;
 }
 
-void note_answered(router &routes, const std::string &instance, duration took)
+void record_answer(router &routes, const std::string &instance, duration took)
 {
     upstream_record &record = routes.upstreams[instance];
     record.in_flight -= record.in_flight > 0 ? 1 : 0;
@@ -246,12 +246,12 @@
                             : record.latency_us + latency_smoothing * (us - record.latency_us);
 }
 
-void note_queue_wait(router &routes, const std::string &instance, duration wait)
+void record_queue_wait(router &routes, const std::string &instance, duration wait)
 {
     routes.upstreams[instance].queue_wait = wait;
 }
 
-void note_refused(router &routes, const std::string &instance, time_point now)
+void record_refusal(router &routes, const std::string &instance, time_point now)
 {
     upstream_record &record = routes.upstreams[instance];
     record.in_flight -= record.in_flight > 0 ? 1 : 0;
@@ -261,13 +261,13 @@
     record.last_refusal = now;
 }
 
-void note_ended(router &routes, const std::string &instance)
+void record_abandoned(router &routes, const std::string &instance)
 {
     upstream_record &record = routes.upstreams[instance];
     record.in_flight -= record.in_flight > 0 ? 1 : 0;
 }
 
-void note_failed(router &routes, const std::string &instance, time_point now)
+void record_failure(router &routes, const std::string &instance, time_point now)
 {
     upstream_record &record = routes.upstreams[instance];
     record.in_flight -= record.in_flight > 0 ? 1 : 0;
@@ -277,16 +277,16 @@
     }
 }
 
-void note_leaving(router &routes, const std::string &instance, time_point now)
+void record_draining(router &routes, const std::string &instance, time_point now)
 {
-    routes.upstreams[instance].leaving_until = now + draining_timeout;
+    routes.upstreams[instance].draining_until = now + draining_timeout;
 }
 
-void note_returned(router &routes, const std::string &instance)
+void clear_draining(router &routes, const std::string &instance)
 {
     auto record = routes.upstreams.find(instance);
     if (record != routes.upstreams.end()) {
-        record->second.leaving_until = time_point{};
+        record->second.draining_until = time_point{};
     }
 }
 
--- a/gullstall/src/route/router.hpp
+++ b/gullstall/src/route/router.hpp
@@ -23,7 +23,7 @@
     time_point last_refusal{};
     std::uint32_t consecutive_failures = 0;
     time_point ejected_until{};
-    time_point leaving_until{};
+    time_point draining_until{};
     std::uint64_t incarnation = 0;  ///< of the member that the record describes
     time_point first_seen{};        ///< time at which this node first saw the incarnation
 };
@@ -59,30 +59,30 @@
                                            time_point now);
 
 /// Records that a call was sent to \a instance.
-void note_sent(router &routes, const std::string &instance);
+void record_sent(router &routes, const std::string &instance);
 
 /// Records that \a instance answered a call after \a took.
-void note_answered(router &routes, const std::string &instance, duration took);
+void record_answer(router &routes, const std::string &instance, duration took);
 
 /// Records the time that calls wait for a slot at \a instance.
-void note_queue_wait(router &routes, const std::string &instance, duration wait);
+void record_queue_wait(router &routes, const std::string &instance, duration wait);
 
 /// Records that \a instance refused a call. The time until the refusal is ignored:
 /// it does not tell how fast the instance runs calls.
-void note_refused(router &routes, const std::string &instance, time_point now);
+void record_refusal(router &routes, const std::string &instance, time_point now);
 
 /// Records that a call to \a instance ended without information about the instance,
 /// because its caller disconnected.
-void note_ended(router &routes, const std::string &instance);
+void record_abandoned(router &routes, const std::string &instance);
 
 /// Records that \a instance did not answer a call.
-void note_failed(router &routes, const std::string &instance, time_point now);
+void record_failure(router &routes, const std::string &instance, time_point now);
 
 /// Records that \a instance reported that it accepts no new calls.
-void note_leaving(router &routes, const std::string &instance, time_point now);
+void record_draining(router &routes, const std::string &instance, time_point now);
 
 /// Records that \a instance accepts calls again.
-void note_returned(router &routes, const std::string &instance);
+void clear_draining(router &routes, const std::string &instance);
 
 }  // namespace gullstall
 
--- a/gullstall/src/runtime/caller_client.cpp
+++ b/gullstall/src/runtime/caller_client.cpp
@@ -63,7 +63,7 @@
 
 }  // namespace
 
-http_request encode_caller_call(const caller_call &request)
+http_request encode_caller_call(const call_request &request)
 {
     http_request out{http::verb::post, "/call/" + request.service + "/" + request.operation,
                      http_version};
@@ -84,7 +84,7 @@
     return out;
 }
 
-caller_answer decode_caller_answer(const caller_call &request, exchange &&it)
+caller_answer decode_caller_answer(const call_request &request, exchange &&it)
 {
     if (it.end != exchange_end::answered) {
         return answer_without_reply(request, it.end == exchange_end::lost);
@@ -114,7 +114,7 @@
     }
 }
 
-asio::awaitable<caller_answer> caller_client::call(caller_call request, bool idempotent)
+asio::awaitable<caller_answer> caller_client::call(call_request request, bool idempotent)
 {
     auto start = std::chrono::steady_clock::now();
     std::size_t first = draw_below(random_, clients_.size());
--- a/gullstall/src/runtime/caller_client.hpp
+++ b/gullstall/src/runtime/caller_client.hpp
@@ -12,10 +12,10 @@
 namespace gullstall::runtime {
 
 /// \returns \a request as an HTTP request on a node's callers' port
-http_request encode_caller_call(const caller_call &request);
+http_request encode_caller_call(const call_request &request);
 
 /// Reads the outcome of an exchange with a node's callers' port.
-caller_answer decode_caller_answer(const caller_call &request, exchange &&it);
+caller_answer decode_caller_answer(const call_request &request, exchange &&it);
 
 /// Client of the caller's interface: sends requests to any of several nodes and
 /// repeats them as plan_repeat() says, each try at another node.
@@ -29,7 +29,7 @@
 
     /// Sends \a request until its answer is final.
     /// \param idempotent whether the call may run twice
-    boost::asio::awaitable<caller_answer> call(caller_call request, bool idempotent);
+    boost::asio::awaitable<caller_answer> call(call_request request, bool idempotent);
 
 private:
     boost::asio::io_context &io_;
--- a/gullstall/src/runtime/callers_http.cpp
+++ b/gullstall/src/runtime/callers_http.cpp
@@ -57,7 +57,7 @@
 
 result<callers_request> read_call(http_request &&request, const std::vector<std::string> &path)
 {
-    caller_call out;
+    call_request out;
     out.service = path[2];
     out.operation = path[3];
     if (!is_name(out.service) || !is_name(out.operation)) {
--- a/gullstall/src/runtime/callers_http.hpp
+++ b/gullstall/src/runtime/callers_http.hpp
@@ -32,7 +32,7 @@
 };
 
 /// What a request on the callers' port asks for.
-using callers_request = std::variant<caller_call, worker_announced, worker_leaving, key_request>;
+using callers_request = std::variant<call_request, worker_announced, worker_leaving, key_request>;
 
 /// Reads a request on the callers' port.
 /// \returns what it asks for, or an error that names the header and what is allowed
--- a/gullstall/src/runtime/daemon.cpp
+++ b/gullstall/src/runtime/daemon.cpp
@@ -133,7 +133,7 @@
     void on_worker_order(worker_order &&order);
     asio::awaitable<void> run_call(run_on_worker order, std::shared_ptr<exchange_handle> handle);
     asio::awaitable<void> try_worker();
-    asio::awaitable<void> ask(ask_platform order);
+    asio::awaitable<void> ask(request_platform order);
     void on_admin_order(admin_order &&order);
     void wait_signal();
     void send(send_frame &&order);
@@ -169,7 +169,7 @@
     mailbox<answer_call> to_callers_;
     mailbox<worker_order> to_worker_;
     mailbox<send_frame> to_peers_;
-    mailbox<ask_platform> to_platform_;
+    mailbox<request_platform> to_platform_;
     mailbox<admin_order> to_admin_;
 
     asio::steady_timer tick_timer_;
@@ -201,7 +201,7 @@
           peers_.io, ring_entries,
           [this](send_frame &&it) { transport_.send(it.instance, it.to, std::move(it.frame)); }),
       to_platform_(platform_.io, ring_entries,
-                   [this](ask_platform &&it) {
+                   [this](request_platform &&it) {
                        asio::co_spawn(platform_.io, ask(std::move(it)), asio::detached);
                    }),
       to_admin_(admin_.io, ring_entries,
@@ -290,15 +290,16 @@
                                  std::is_same_v<kind, cancel_on_worker> ||
                                  std::is_same_v<kind, check_worker>) {
                 push_always(to_worker_, worker_order{std::move(it)});
-            } else if constexpr (std::is_same_v<kind, ask_platform>) {
+            } else if constexpr (std::is_same_v<kind, request_platform>) {
                 push_always(to_platform_, std::move(it));
             } else if constexpr (std::is_same_v<kind, answer_admin>) {
                 push_always(to_admin_, admin_order{std::move(it)});
             } else if constexpr (std::is_same_v<kind, write_log>) {
                 log_line(std::move(it));
             } else {
-                static_assert(std::is_same_v<kind, stop_now>, "an action is not carried out");
-                stop_at_ = std::max(clock_.now() + last_linger, node_.stop_asked_at + stop_linger);
+                static_assert(std::is_same_v<kind, exit_process>, "an action is not carried out");
+                stop_at_ =
+                    std::max(clock_.now() + last_linger, node_.stop_requested_at + stop_linger);
             }
         },
         what);
@@ -346,7 +347,8 @@
         asio::post(callers_.io, [this] { callers_server_.stop(); });
         return false;
     }
-    bool settled = node_.once.writer.writes.empty() || clock_.now() >= node_.settle_until;
+    bool settled =
+        node_.idempotency.writer.writes.empty() || clock_.now() >= node_.outcome_write_deadline;
     bool empty = settled && node_.calls.empty() && node_.runs.empty() &&
                  callers_server_.is_drained() && to_peers_.is_drained() &&
                  transport_.bytes_waiting() == 0;
@@ -367,7 +369,7 @@
         return;
     }
     callers_request &what = value_of(read);
-    if (auto *call = std::get_if<caller_call>(&what)) {
+    if (auto *call = std::get_if<call_request>(&what)) {
         // A repeat of a key may have run before: only a first attempt is not run for sure.
         bool knows = call->key.empty() || call->attempt == 1;
         event arrived{call_arrived{call_ref{id}, std::move(*call)}};
@@ -377,7 +379,7 @@
         return;
     }
     if (std::holds_alternative<key_request>(what)) {
-        event asked{key_asked{call_ref{id}}};
+        event asked{key_requested{call_ref{id}}};
         if (!from_callers_.push_leaving(asked, callers_reserve)) {
             refuse_busy(id, wire::outcome::not_run);
         }
@@ -393,7 +395,7 @@
 
 void daemon::on_admin_request(std::uint64_t id, const http_request &request)
 {
-    push_always(from_admin_, event{admin_asked{admin_ref{id}, std::string(request.target())}});
+    push_always(from_admin_, event{admin_requested{admin_ref{id}, std::string(request.target())}});
 }
 
 void daemon::on_admin_order(admin_order &&order)
@@ -463,7 +465,7 @@
     push_always(from_worker_, event{worker_checked{reachable}});
 }
 
-asio::awaitable<void> daemon::ask(ask_platform order)
+asio::awaitable<void> daemon::ask(request_platform order)
 {
     platform_answer answer = co_await ask_over_http(platform_client_, std::move(order.what),
                                                     milliseconds(settings_.platform.timeout_ms));
--- a/gullstall/src/suspects/suspect_table.cpp
+++ b/gullstall/src/suspects/suspect_table.cpp
@@ -25,8 +25,8 @@
 
 }  // namespace
 
-bool note_suspect(suspect_table &table, const std::string &request, const crash &what,
-                  time_point now)
+bool record_suspect(suspect_table &table, const std::string &request, const crash &what,
+                    time_point now)
 {
     suspect &entry = table.suspects[request];
     entry.expires_at = now + suspect_lifetime;
@@ -35,18 +35,18 @@
         .second;
 }
 
-void tell_suspect(suspect_table &table, const std::string &request, const crash &what)
+void add_pending_report(suspect_table &table, const std::string &request, const crash &what)
 {
-    auto found = std::find_if(table.to_tell.begin(), table.to_tell.end(),
+    auto found = std::find_if(table.pending_reports.begin(), table.pending_reports.end(),
                               [&](const suspect_report &report) { return report.what == what; });
-    if (found == table.to_tell.end()) {
-        found = table.to_tell.insert(table.to_tell.end(), suspect_report{what, {}});
+    if (found == table.pending_reports.end()) {
+        found = table.pending_reports.insert(table.pending_reports.end(), suspect_report{what, {}});
     }
     found->requests.push_back(request);
 }
 
-crash own_crash(suspect_table &table, const std::string &instance, std::uint64_t incarnation,
-                time_point now)
+crash local_crash(suspect_table &table, const std::string &instance, std::uint64_t incarnation,
+                  time_point now)
 {
     if (table.local_crashes == 0 || now > table.last_lost_run + crash_loss_window) {
         ++table.local_crashes;
@@ -73,7 +73,7 @@
     return found == table.suspects.end() ? 0 : found->second.crashes.size();
 }
 
-void judge_suspects(suspect_table &table, time_point now,
+void prune_suspects(suspect_table &table, time_point now,
                     const std::function<bool(const std::string &)> &zone_alive)
 {
     if (now < table.next_check) {
--- a/gullstall/src/suspects/suspect_table.hpp
+++ b/gullstall/src/suspects/suspect_table.hpp
@@ -48,28 +48,28 @@
 /// Suspects known to a node.
 struct suspect_table
 {
-    std::map<std::string, suspect> suspects;   ///< by request
-    std::vector<suspect_report> to_tell;       ///< reports not sent yet
-    std::vector<std::string> cleared_to_tell;  ///< cleared requests not reported yet
-    std::uint64_t local_crashes = 0;           ///< crashes of the local worker
-    time_point last_lost_run{};                ///< last time the local worker lost a run
+    std::map<std::string, suspect> suspects;      ///< by request
+    std::vector<suspect_report> pending_reports;  ///< reports not sent yet
+    std::vector<std::string> pending_clearances;  ///< cleared requests not reported yet
+    std::uint64_t local_crashes = 0;              ///< crashes of the local worker
+    time_point last_lost_run{};                   ///< last time the local worker lost a run
     time_point next_check{};
-    bool refuse_crashers = true;  ///< disabled in tests to reproduce the violation
-    bool run_alone = true;        ///< disabled in tests to reproduce the violation
+    bool refuse_suspects = true;   ///< disabled in tests to reproduce the violation
+    bool isolate_suspects = true;  ///< disabled in tests to reproduce the violation
 };
 
 /// Records that \a request was in flight at the crash \a what.
 /// \returns whether the crash was not yet recorded for the request
-bool note_suspect(suspect_table &table, const std::string &request, const crash &what,
-                  time_point now);
+bool record_suspect(suspect_table &table, const std::string &request, const crash &what,
+                    time_point now);
 
 /// Adds a suspect to the pending reports to other nodes.
-void tell_suspect(suspect_table &table, const std::string &request, const crash &what);
+void add_pending_report(suspect_table &table, const std::string &request, const crash &what);
 
 /// \returns the crash that a run just lost by the local worker belongs to; losses in
 /// quick succession belong to the same crash
-crash own_crash(suspect_table &table, const std::string &instance, std::uint64_t incarnation,
-                time_point now);
+crash local_crash(suspect_table &table, const std::string &instance, std::uint64_t incarnation,
+                  time_point now);
 
 /// Removes a suspect that has run to completion, unless it is already refused.
 /// \returns whether a suspect was removed
@@ -84,7 +84,7 @@
 
 /// Removes crashes that turned out to be network partitions, and expired suspects.
 /// \param zone_alive returns whether another member of the zone of \a instance is alive
-void judge_suspects(suspect_table &table, time_point now,
+void prune_suspects(suspect_table &table, time_point now,
                     const std::function<bool(const std::string &instance)> &zone_alive);
 
 }  // namespace gullstall
--- a/programs/sidecar.cpp
+++ b/programs/sidecar.cpp
@@ -30,8 +30,8 @@
     app.set_version_flag("--version", gullstall::version);
     CLI11_PARSE(app, argc, argv);
 
-    gullstall::mesh::mesh_switches on;
-    auto switched = gullstall::mesh::switch_off(on, off);
+    gullstall::mesh::mesh_features on;
+    auto switched = gullstall::mesh::disable_features(on, off);
     if (!gullstall::succeeded(switched)) {
         std::cerr << "gullstall-sidecar: --switch-off: " << gullstall::error_of(switched).message
                   << "\n";
--- a/test/platform/formats.cpp
+++ b/test/platform/formats.cpp
@@ -88,7 +88,7 @@
     CHECK(policy.version == 7);
     REQUIRE(policy.routes.size() == 1);
     const traffic_route &route = policy.routes.front();
-    CHECK(route.repeats == repeatability::non_idempotent);
+    CHECK(route.request_idempotency == idempotency::non_idempotent);
     CHECK(route.timeout == seconds(5));
     CHECK(route.latency_objective == milliseconds(1200));
     CHECK(route.priority == 2);
@@ -115,7 +115,7 @@
     auto read = platform::read_policy(
         policy_with(with(route_spec, R"("kind":"upload")", R"("kind":"download")")));
     REQUIRE(succeeded(read));
-    CHECK(value_of(read).routes.front().repeats == repeatability::idempotent);
+    CHECK(value_of(read).routes.front().request_idempotency == idempotency::idempotent);
 }
 
 TEST_CASE("operator's row, bad content, is refused with the entry's name")
--- a/test/standins/dispatches.cpp
+++ b/test/standins/dispatches.cpp
@@ -41,7 +41,7 @@
 {
     ++open;
     std::size_t slash = target.find('/');
-    gullstall::caller_call request{
+    gullstall::call_request request{
         target.substr(0, slash), target.substr(slash + 1), key, key, "", {}, {}};
     request.time_left = gullstall::milliseconds(1500);
     gullstall::caller_answer answer = co_await client.call(std::move(request), false);
--- a/test/support/echo_world.hpp
+++ b/test/support/echo_world.hpp
@@ -6,14 +6,14 @@
 namespace gullstall::test {
 
 /// A simulated cluster whose workers echo each body after 10 ms; collects the answers.
-struct echo_world
+struct echo_simulation
 {
     test_publisher publisher;
-    world w;
+    simulation w;
     std::vector<caller_answer> answers;
 
     /// \param bundle text of the bundle in force at all nodes
-    echo_world(std::uint64_t seed, const std::string &bundle) : w(seed)
+    echo_simulation(std::uint64_t seed, const std::string &bundle) : w(seed)
     {
         publisher.publish(w.platform, bundle);
         w.on_run = [this](const std::string &instance, run_on_worker &&run) {
@@ -26,8 +26,8 @@
         };
     }
 
-    echo_world(const echo_world &) = delete;
-    echo_world &operator=(const echo_world &) = delete;
+    echo_simulation(const echo_simulation &) = delete;
+    echo_simulation &operator=(const echo_simulation &) = delete;
 
     /// Adds a node with four slots.
     void add(const std::string &instance, const std::string &zone, const std::string &service,
--- a/test/support/member_fleet.hpp
+++ b/test/support/member_fleet.hpp
@@ -13,7 +13,7 @@
 struct member_fleet
 {
     test_publisher publisher;
-    world w{1};
+    simulation w{1};
     std::vector<std::string> zones{"midrand", "germiston", "centurion"};
     std::function<void(gossip_limits &)> set_limits;  ///< for guards that are switched off
     std::vector<endpoint> seeds;
@@ -95,18 +95,18 @@
     void cut_off(const std::vector<std::string> &side)
     {
         for (const std::string &zone : side) {
-            w.platform_cuts.insert(zone);
+            w.platform_partitions.insert(zone);
             for (const std::string &other : zones) {
                 if (other != zone) {
-                    w.cuts.insert({zone, other});
+                    w.partitions.insert({zone, other});
                 }
             }
         }
     }
     void heal()
     {
-        w.cuts.clear();
-        w.platform_cuts.clear();
+        w.partitions.clear();
+        w.platform_partitions.clear();
     }
 };
 
--- a/test/support/mesh_world.hpp
+++ b/test/support/mesh_world.hpp
@@ -15,7 +15,7 @@
 namespace gullstall::test {
 
 /// Nested calls that a run makes sequentially before it answers.
-struct inner_calls
+struct nested_calls
 {
     std::string host;
     std::string path;
@@ -28,17 +28,17 @@
     std::string service;
     std::uint32_t slots = 10;
     duration run_time = milliseconds(10);
-    double shed = 0;                             ///< share of the calls that it sheds
-    std::map<std::string, inner_calls> calls{};  ///< by the path of the run
+    double shed = 0;                              ///< share of the calls that it sheds
+    std::map<std::string, nested_calls> calls{};  ///< by the path of the run
 };
 
 /// Outcome of a caller's request.
 struct caller_result
 {
     std::uint16_t status = 0;
-    mesh_wire::reason why = mesh_wire::reason::none;
+    mesh_wire::reason refusal_reason = mesh_wire::reason::none;
     std::optional<duration> retry_after;
-    time_point asked_at{};
+    time_point sent_at{};
     time_point answered_at{};
 };
 
@@ -48,16 +48,16 @@
     std::string node;
     std::string request_id;
     std::string upstream;
-    duration left{};
+    duration time_left{};
     time_point at{};
 };
 
 /// Simulation of nodes, upstreams and callers in virtual time, connected by links that can
 /// be partitioned.
-class mesh_world
+class mesh_simulation
 {
 public:
-    explicit mesh_world(std::uint64_t seed) : random(seed) {}
+    explicit mesh_simulation(std::uint64_t seed) : random(seed) {}
 
     time_point now{seconds(1000)};
     random_source random;
@@ -66,20 +66,21 @@
     std::map<std::string, upstream_model> upstreams;  ///< by node
     std::map<std::string, caller_result> results;     ///< by request id
     std::vector<upstream_run> runs;
-    std::vector<mesh::write_line> lines;
-    std::map<std::string, mesh::calls_per_run> kept;  ///< calls per run in the store, by route
+    std::vector<mesh::write_line> log_lines;
+    std::map<std::string, mesh::calls_per_run>
+        stored_calls;  ///< calls per run in the store, by route
     /// Pairs (from, to) whose frames are held back until the pair is removed.
-    std::set<std::pair<std::string, std::string>> cuts;
-    std::set<std::string> frozen;  ///< nodes whose process is paused
+    std::set<std::pair<std::string, std::string>> partitions;
+    std::set<std::string> paused_nodes;  ///< nodes whose process is paused
     traffic_policy policy;
 
-    void at(time_point when, std::function<void()> action)
+    void schedule_at(time_point when, std::function<void()> action)
     {
         queue_.push(event{when, ++last_id_, std::move(action)});
     }
-    void after(duration d, std::function<void()> action)
+    void schedule_after(duration d, std::function<void()> action)
     {
-        at(now + d, std::move(action));
+        schedule_at(now + d, std::move(action));
     }
     void run_for(duration d)
     {
@@ -94,15 +95,15 @@
     }
 
     /// Starts a node whose upstream announces itself as ready at once.
-    void add(const std::string &name, const std::string &zone, const upstream_model &model)
+    void add_node(const std::string &name, const std::string &zone, const upstream_model &model)
     {
         upstreams[name] = model;
-        start(name, zone);
-        beat(name);
+        start_node(name, zone);
+        send_heartbeat(name);
     }
 
     /// Starts or restarts the process of a node.
-    void start(const std::string &name, const std::string &zone)
+    void start_node(const std::string &name, const std::string &zone)
     {
         mesh::mesh_settings settings;
         settings.node.name = name;
@@ -112,47 +113,47 @@
         auto incarnation = static_cast<std::uint64_t>(now.time_since_epoch().count());
         lose_links_of(name);
         nodes.insert_or_assign(name, make_mesh_node(settings, incarnation, random(), now));
-        step(name, [&](mesh::mesh_turn &t) { take_policy(t, policy, "text", "test"); });
+        run_node(name, [&](mesh::mesh_turn &t) { apply_policy(t, policy, "text", "test"); });
         for (auto &[other, n] : nodes) {
             mesh::node_address address = nodes.at(name).nodes.nodes.at(name).address;
             mesh::node_address other_address = n.nodes.nodes.at(other).address;
-            step(other, [&](mesh::mesh_turn &t) { take_address(t, address); });
-            step(name, [&](mesh::mesh_turn &t) { take_address(t, other_address); });
+            run_node(other, [&](mesh::mesh_turn &t) { handle_address(t, address); });
+            run_node(name, [&](mesh::mesh_turn &t) { handle_address(t, other_address); });
         }
         tick(name, incarnation);
     }
 
     /// Delivers a heartbeat of the node's upstream.
-    mesh::heartbeat_verdict beat(const std::string &name,
-                                 mesh_wire::upstream_state state = mesh_wire::upstream_state::ready)
+    mesh::heartbeat_verdict send_heartbeat(
+        const std::string &name, mesh_wire::upstream_state state = mesh_wire::upstream_state::ready)
     {
         mesh::upstream_heartbeat it{
             "u-" + name, upstreams[name].service, "",        1, ++heartbeats_,
             state,       upstreams[name].slots,   duration{}};
         mesh::heartbeat_verdict verdict{};
-        step(name, [&](mesh::mesh_turn &t) { verdict = on_heartbeat(t, it); });
+        run_node(name, [&](mesh::mesh_turn &t) { verdict = handle_heartbeat(t, it); });
         return verdict;
     }
 
     /// Sends a caller's request to a node.
-    void request(const std::string &node, const std::string &id, const std::string &path,
-                 duration left)
+    void send_request(const std::string &node, const std::string &id, const std::string &path,
+                      duration left)
     {
         submit(node, id, path, left, [this, id](const mesh::caller_answer &answer) {
             caller_result &result = results[id];
             result.status = answer.status;
-            result.why = answer.why;
+            result.refusal_reason = answer.why;
             result.retry_after = answer.retry_after;
             result.answered_at = now;
         });
-        results[id].asked_at = results[id].asked_at == time_point{} ? now : results[id].asked_at;
+        results[id].sent_at = results[id].sent_at == time_point{} ? now : results[id].sent_at;
     }
 
     /// Closes the connection of a request's caller.
-    void leave(const std::string &node, const std::string &id)
+    void close_caller(const std::string &node, const std::string &id)
     {
         call_ref call = calls_.at(id);
-        step(node, [&](mesh::mesh_turn &t) { abandon_request(t, call); });
+        run_node(node, [&](mesh::mesh_turn &t) { abandon_request(t, call); });
     }
 
     /// Closes the links between two nodes in both directions.
@@ -163,10 +164,10 @@
         }
     }
 
-    void step(const std::string &name, const std::function<void(mesh::mesh_turn &)> &action)
+    void run_node(const std::string &name, const std::function<void(mesh::mesh_turn &)> &action)
     {
-        if (frozen.count(name) > 0) {
-            after(milliseconds(10), [this, name, action] { step(name, action); });
+        if (paused_nodes.count(name) > 0) {
+            schedule_after(milliseconds(10), [this, name, action] { run_node(name, action); });
             return;
         }
         mesh::mesh_actions out;
@@ -176,8 +177,8 @@
             std::visit([&](auto &output) { perform(name, output); }, it);
         }
         if (std::optional<time_point> next = next_expiry(nodes.at(name))) {
-            at(std::max(now, *next), [this, name] {
-                step(name, [](mesh::mesh_turn &t) {
+            schedule_at(std::max(now, *next), [this, name] {
+                run_node(name, [](mesh::mesh_turn &t) {
                     expire_calls(t);
                     expire_runs(t);
                 });
@@ -188,8 +189,8 @@
     /// Ends a run on a node's upstream.
     void end_run(const std::string &node, run_ref run, mesh::run_end end, std::uint16_t status)
     {
-        step(node, [&](mesh::mesh_turn &t) {
-            take_run_result(t, run, mesh::run_result{end, status, "", "", {}});
+        run_node(node, [&](mesh::mesh_turn &t) {
+            handle_run_result(t, run, mesh::run_result{end, status, "", "", {}});
         });
     }
 
@@ -230,7 +231,7 @@
         it.method = "GET";
         it.target = path;
         it.time_left = left;
-        step(node, [&](mesh::mesh_turn &t) { take_request(t, call, std::move(it)); });
+        run_node(node, [&](mesh::mesh_turn &t) { handle_request(t, call, std::move(it)); });
     }
 
     void tick(const std::string &name, std::uint64_t incarnation)
@@ -238,16 +239,18 @@
         if (nodes.at(name).incarnation != incarnation) {
             return;  // the process was restarted meanwhile
         }
-        step(name, [](mesh::mesh_turn &t) { members_tick(t); });
-        after(mesh::mesh_tick_interval, [this, name, incarnation] { tick(name, incarnation); });
+        run_node(name, [](mesh::mesh_turn &t) { members_tick(t); });
+        schedule_after(mesh::mesh_tick_interval,
+                       [this, name, incarnation] { tick(name, incarnation); });
     }
 
     void deliver(const std::string &from, const std::string &to,
                  const std::function<void()> &action)
     {
-        after(link_delay, [this, from, to, action] {
-            if (cuts.count({from, to}) > 0) {
-                after(milliseconds(10), [this, from, to, action] { deliver(from, to, action); });
+        schedule_after(link_delay, [this, from, to, action] {
+            if (partitions.count({from, to}) > 0) {
+                schedule_after(milliseconds(10),
+                               [this, from, to, action] { deliver(from, to, action); });
                 return;
             }
             action();
@@ -265,7 +268,7 @@
                 return;
             }
             mesh_wire::hello_message hello = own_hello(nodes.at(name), now - link_delay);
-            step(to, [&](mesh::mesh_turn &t) { take_hello(t, ref, hello); });
+            run_node(to, [&](mesh::mesh_turn &t) { handle_hello(t, ref, hello); });
         });
     }
 
@@ -302,15 +305,15 @@
     void receive_at_server(const std::string &node, mesh::link_ref ref,
                            mesh_wire::frame_message &frame)
     {
-        step(node, [&](mesh::mesh_turn &t) {
+        run_node(node, [&](mesh::mesh_turn &t) {
             if (mesh_wire::call_message *call = frame.payload.Ascall()) {
-                take_call(t, ref, std::move(*call));
+                handle_call(t, ref, std::move(*call));
             } else if (const mesh_wire::cancel_message *it = frame.payload.Ascancel()) {
-                take_cancel(t, ref, it->correlation);
+                handle_cancel(t, ref, it->correlation);
             } else if (frame.payload.Asping() != nullptr) {
-                take_ping(t, ref);
+                handle_ping(t, ref);
             } else if (frame.payload.Aspolicy_fetch() != nullptr) {
-                take_policy_fetch(t, ref);
+                handle_policy_fetch(t, ref);
             }
         });
     }
@@ -318,16 +321,16 @@
     void receive_at_dialer(const std::string &from, const std::string &node,
                            mesh_wire::frame_message &frame)
     {
-        step(node, [&](mesh::mesh_turn &t) {
+        run_node(node, [&](mesh::mesh_turn &t) {
             if (mesh_wire::reply_message *reply = frame.payload.Asreply()) {
-                take_reply(t, from, *reply);
+                handle_reply(t, from, *reply);
             } else if (const mesh_wire::node_status_message *it = frame.payload.Asnode_status()) {
-                take_status(t, *it);
+                handle_status(t, *it);
                 if (!t.n.nodes.nodes.at(from).linked) {
-                    link_node(t, from);
+                    handle_node_connected(t, from);
                 }
             } else if (const mesh_wire::chain_news_message *news = frame.payload.Aschain_news()) {
-                take_chain_news(t, *news);
+                handle_chain_news(t, *news);
             }
         });
     }
@@ -338,8 +341,8 @@
             if (it->second.from == from && it->second.to == to) {
                 mesh::link_ref ref = it->first;
                 links_.erase(it);
-                step(from, [&](mesh::mesh_turn &t) { lose_node(t, to, {}); });
-                step(to, [&](mesh::mesh_turn &t) { lose_link(t, ref); });
+                run_node(from, [&](mesh::mesh_turn &t) { handle_node_lost(t, to, {}); });
+                run_node(to, [&](mesh::mesh_turn &t) { handle_link_closed(t, ref); });
                 return;
             }
         }
@@ -360,23 +363,22 @@
         runs.push_back(upstream_run{name, it.call.request_id, it.upstream, it.left, now});
         const upstream_model &model = upstreams.at(name);
         if (draw_fraction(random) < model.shed) {
-            after(milliseconds(1), [this, name, run = it.run] {
+            schedule_after(milliseconds(1), [this, name, run = it.run] {
                 end_run(name, run, mesh::run_end::not_executed, 503);
             });
             return;
         }
         open_runs_.insert({name, it.run});
         auto calls = model.calls.find(it.call.target);
-        inner_calls inner = calls == model.calls.end() ? inner_calls{} : calls->second;
+        nested_calls inner = calls == model.calls.end() ? nested_calls{} : calls->second;
         time_point expires = now + it.left;
-        after(model.run_time, [this, name, run = it.run, id = it.call.request_id, inner, expires] {
-            make_calls(name, run, id, inner, expires);
-        });
+        schedule_after(model.run_time, [this, name, run = it.run, id = it.call.request_id, inner,
+                                        expires] { make_calls(name, run, id, inner, expires); });
     }
 
     /// Makes the nested calls of a run sequentially; the run fails with the first call
     /// that fails.
-    void make_calls(const std::string &name, run_ref run, const std::string &id, inner_calls rest,
+    void make_calls(const std::string &name, run_ref run, const std::string &id, nested_calls rest,
                     time_point expires)
     {
         if (open_runs_.count({name, run}) == 0) {
@@ -396,8 +398,9 @@
                        return;
                    }
                    open_runs_.erase({name, run});
-                   after(duration(0),
-                         [this, name, run] { end_run(name, run, mesh::run_end::answered, 500); });
+                   schedule_after(duration(0), [this, name, run] {
+                       end_run(name, run, mesh::run_end::answered, 500);
+                   });
                });
     }
 
@@ -415,19 +418,19 @@
         answer_function answered = std::move(found->second);
         answer_handlers_.erase(found);
         auto shared = std::make_shared<mesh::caller_answer>(std::move(it.answer));
-        after(duration(0), [answered, shared] { answered(*shared); });
+        schedule_after(duration(0), [answered, shared] { answered(*shared); });
     }
 
     void perform(const std::string &, mesh::write_line &it)
     {
-        lines.push_back(it);
+        log_lines.push_back(it);
     }
 
     void perform(const std::string &, mesh::upstream_replaced &) {}
 
-    void perform(const std::string &, mesh::keep_chain &it)
+    void perform(const std::string &, mesh::store_chain &it)
     {
-        kept[it.route] = it.calls;
+        stored_calls[it.route] = it.calls;
     }
 
     std::priority_queue<event> queue_;
@@ -442,7 +445,7 @@
 
 /// \returns a route of the host "h"
 inline traffic_route route_of(const std::string &name, const std::string &prefix,
-                              const std::string &service, repeatability repeats,
+                              const std::string &service, idempotency repeats,
                               std::uint32_t priority = 0)
 {
     return traffic_route{name,       "h",      prefix, repeats,       seconds(5),
--- a/test/support/world.hpp
+++ b/test/support/world.hpp
@@ -16,7 +16,7 @@
 /// Simulates a cluster of nodes in virtual time: delivers frames, platform
 /// answers and timers, with delay, loss, network partitions and paused nodes. It
 /// models neither topology nor machines; workers are a function of the test.
-class world
+class simulation
 {
 public:
     /// Called when a node runs a call on its worker; completes it by answer_run().
@@ -25,7 +25,7 @@
     using answer_function =
         std::function<void(const std::string &instance, call_ref call, caller_answer &&answer)>;
 
-    explicit world(std::uint64_t seed) : random(seed) {}
+    explicit simulation(std::uint64_t seed) : random(seed) {}
 
     time_point now{seconds(1000)};
     random_source random;
@@ -37,21 +37,22 @@
 
     duration link_delay = microseconds(500);
     duration platform_delay = milliseconds(2);
-    double loss = 0;                                     ///< fraction of frames that are lost
-    std::set<std::pair<std::string, std::string>> cuts;  ///< pairs of zones without a connection
-    std::set<std::string> platform_cuts;  ///< zones without a connection to the platform
-    std::set<std::string> dead_workers;   ///< instances whose worker accepts no connections
+    double loss_rate = 0;  ///< fraction of frames that are lost
+    std::set<std::pair<std::string, std::string>>
+        partitions;                             ///< pairs of zones without a connection
+    std::set<std::string> platform_partitions;  ///< zones without a connection to the platform
+    std::set<std::string> unreachable_workers;  ///< instances whose worker accepts no connections
     std::map<std::string, std::uint64_t> bytes_sent;  ///< by instance, if count_bytes is set
     bool count_bytes = false;
-    duration tick_every =
+    duration tick_period =
         tick_interval;  ///< can be longer in long simulations without short deadlines
     /// If set, answers instead of the platform; may call platform.ask().
-    std::function<platform_answer(const platform_request &what)> on_ask;
+    std::function<platform_answer(const platform_request &what)> on_platform_request;
 
     /// Calls \a what at \a when.
     void at(time_point when, std::function<void()> what)
     {
-        queue_.push(entry{when, ++last_, std::move(what)});
+        queue_.push(entry{when, ++last_order_, std::move(what)});
     }
     void after(duration d, std::function<void()> what)
     {
@@ -81,9 +82,9 @@
         const std::string &name = settings.node.instance;
         auto incarnation = static_cast<std::uint64_t>(now.time_since_epoch().count());
         nodes.insert_or_assign(name, value_of(make_node(settings, incarnation, random())));
-        ++lives_[name];
+        ++generations_[name];
         paused_.erase(name);
-        tick_on(name, lives_[name]);
+        schedule_tick(name, generations_[name]);
         if (announce) {
             feed(name, worker_announced{settings.worker.slots});
         }
@@ -94,7 +95,7 @@
     void kill(const std::string &name)
     {
         nodes.erase(name);
-        ++lives_[name];
+        ++generations_[name];
         paused_.erase(name);
         for (auto &[other, n] : nodes) {
             std::string peer = other;
@@ -141,7 +142,7 @@
     }
 
     /// Sends a call of a caller to the node \a entry.
-    call_ref call(const std::string &entry, caller_call request)
+    call_ref call(const std::string &entry, call_request request)
     {
         call_ref id{++last_call_};
         feed(entry, call_arrived{id, std::move(request)});
@@ -155,9 +156,9 @@
         feed(instance, worker_answered{run, end, status, "", std::move(body)});
     }
 
-    bool are_cut(const std::string &zone_a, const std::string &zone_b) const
+    bool is_partitioned(const std::string &zone_a, const std::string &zone_b) const
     {
-        return cuts.count({zone_a, zone_b}) > 0 || cuts.count({zone_b, zone_a}) > 0;
+        return partitions.count({zone_a, zone_b}) > 0 || partitions.count({zone_b, zone_a}) > 0;
     }
 
 private:
@@ -173,14 +174,14 @@
         }
     };
 
-    void tick_on(const std::string &name, std::uint64_t life)
+    void schedule_tick(const std::string &name, std::uint64_t life)
     {
-        after(tick_every, [this, name, life] {
-            if (lives_[name] != life) {
+        after(tick_period, [this, name, life] {
+            if (generations_[name] != life) {
                 return;
             }
             feed(name, tick{});
-            tick_on(name, life);
+            schedule_tick(name, life);
         });
     }
 
@@ -188,8 +189,8 @@
     {
         if (auto *frame = std::get_if<send_frame>(&what)) {
             send(name, std::move(*frame));
-        } else if (auto *ask = std::get_if<ask_platform>(&what)) {
-            ask_for(name, std::move(*ask));
+        } else if (auto *ask = std::get_if<request_platform>(&what)) {
+            answer_platform_request(name, std::move(*ask));
         } else if (auto *run = std::get_if<run_on_worker>(&what)) {
             if (on_run) {
                 on_run(name, std::move(*run));
@@ -199,8 +200,9 @@
                 on_cancel(name, cancel->run);
             }
         } else if (std::holds_alternative<check_worker>(what)) {
-            after(link_delay,
-                  [this, name] { feed(name, worker_checked{dead_workers.count(name) == 0}); });
+            after(link_delay, [this, name] {
+                feed(name, worker_checked{unreachable_workers.count(name) == 0});
+            });
         } else if (auto *answer = std::get_if<answer_call>(&what)) {
             if (on_answer) {
                 on_answer(name, answer->call, std::move(answer->answer));
@@ -230,36 +232,36 @@
         }
         auto receiver = nodes.find(to);
         const std::string zone = nodes.at(from).settings.node.zone;
-        if (receiver == nodes.end() || are_cut(zone, receiver->second.settings.node.zone)) {
+        if (receiver == nodes.end() || is_partitioned(zone, receiver->second.settings.node.zone)) {
             after(link_delay, [this, from, to] { feed(from, peer_unreachable{to, {}}); });
             return;
         }
-        if (loss > 0 && draw_fraction(random) < loss) {
+        if (loss_rate > 0 && draw_fraction(random) < loss_rate) {
             return;
         }
         auto held = std::make_shared<wire::frame_message>(std::move(order.frame));
         after(link_delay, [this, to, held] { feed(to, frame_arrived{std::move(*held)}); });
     }
 
-    void ask_for(const std::string &from, ask_platform &&order)
+    void answer_platform_request(const std::string &from, request_platform &&order)
     {
-        bool cut = platform_cuts.count(nodes.at(from).settings.node.zone) > 0;
-        platform_answer answer = cut      ? platform_answer{platform_status::unavailable, {}, {}}
-                                 : on_ask ? on_ask(order.what)
-                                          : platform.ask(order.what);
-        std::uint64_t life = lives_[from];
+        bool cut = platform_partitions.count(nodes.at(from).settings.node.zone) > 0;
+        platform_answer answer = cut ? platform_answer{platform_status::unavailable, {}, {}}
+                                 : on_platform_request ? on_platform_request(order.what)
+                                                       : platform.ask(order.what);
+        std::uint64_t life = generations_[from];
         platform_ref id = order.request;
         after(platform_delay, [this, from, life, id, answer] {
-            if (lives_[from] == life) {
+            if (generations_[from] == life) {
                 feed(from, platform_answered{id, answer});
             }
         });
     }
 
     std::priority_queue<entry> queue_;
-    std::map<std::string, std::uint64_t> lives_;
+    std::map<std::string, std::uint64_t> generations_;
     std::map<std::string, std::vector<event>> paused_;
-    std::uint64_t last_ = 0;
+    std::uint64_t last_order_ = 0;
     std::uint64_t last_call_ = 0;
 };
 
--- a/test/unit/bundle_race.cpp
+++ b/test/unit/bundle_race.cpp
@@ -23,7 +23,7 @@
 struct bundle_race_fixture
 {
     test::test_publisher board;
-    test::world w{7};
+    test::simulation w{7};
     std::vector<told> ends;
     publish_guards guards;
     std::uint64_t open = 0;
--- a/test/unit/bundle_spread.cpp
+++ b/test/unit/bundle_spread.cpp
@@ -14,14 +14,14 @@
 struct bundle_spread_fixture
 {
     test::test_publisher board;
-    test::world w{11};
+    test::simulation w{11};
     std::uint64_t version = 0;
     std::map<std::int64_t, std::uint64_t> reads;  // of bundles, by second
     std::vector<caller_answer> answers;
 
     bundle_spread_fixture()
     {
-        w.on_ask = [this](const platform_request &what) {
+        w.on_platform_request = [this](const platform_request &what) {
             count_read(what);
             return w.platform.ask(what);
         };
@@ -128,15 +128,15 @@
     {
         for (const char *other : zones) {
             if (zone != other && off) {
-                w.cuts.insert({zone, other});
+                w.partitions.insert({zone, other});
             } else {
-                w.cuts.erase({zone, other});
+                w.partitions.erase({zone, other});
             }
         }
         if (off) {
-            w.platform_cuts.insert(zone);
+            w.platform_partitions.insert(zone);
         } else {
-            w.platform_cuts.erase(zone);
+            w.platform_partitions.erase(zone);
         }
     }
 };
@@ -231,18 +231,18 @@
 TEST_CASE_FIXTURE(bundle_spread_fixture, "fresh node, neither peers nor table, refuses as starting")
 {
     publish();
-    w.platform_cuts.insert("midrand");
+    w.platform_partitions.insert("midrand");
     node_settings settings = settings_of(0);
     settings.seeds = {endpoint{"127.0.0.1", 1}};
     w.add_node(settings);
     w.run_for(seconds(10));
-    w.call("boxwatch-0", caller_call{"boxwatch", "check", "r1", "", "", {}, {}});
+    w.call("boxwatch-0", call_request{"boxwatch", "check", "r1", "", "", {}, {}});
     REQUIRE(answers.size() == 1);
     CHECK(answers[0].outcome == wire::outcome::not_run);
     CHECK(answers[0].refusal == wire::refusal::starting);
     CHECK(answers[0].retry_after_ms > 0);
     CHECK(at(0).members.members.at("boxwatch-0").state == wire::member_state::leaving);
-    w.platform_cuts.clear();
+    w.platform_partitions.clear();
     w.run_for(seconds(2));
     CHECK(version_at(0) == 1);
     CHECK(at(0).members.members.at("boxwatch-0").state == wire::member_state::alive);
@@ -288,7 +288,7 @@
     publish();
     add_nodes(15);
     w.run_for(seconds(3));
-    w.platform_cuts = {"germiston", "centurion"};
+    w.platform_partitions = {"germiston", "centurion"};
     publish();
     CHECK(time_to_spread(seconds(10)) <= seconds(3));
 }
@@ -298,7 +298,7 @@
     publish();
     add_nodes(60);
     w.run_for(seconds(4));
-    w.loss = 0.2;
+    w.loss_rate = 0.2;
     CHECK(longest_spread(10, seconds(60)) <= seconds(13));
 }
 
@@ -352,12 +352,12 @@
         at(0).bundles.guards.pin_requests = guarded;
         answers.clear();
         runs.clear();
-        w.call("boxwatch-0", caller_call{"boxwatch", "outer", "r1", "", "", {}, {}});
+        w.call("boxwatch-0", call_request{"boxwatch", "outer", "r1", "", "", {}, {}});
         std::uint64_t at_entry = version;
         publish(limits + "50\n");
         REQUIRE(time_to_spread(milliseconds(1900)) < milliseconds(1900));
         REQUIRE(answers.empty());
-        w.call("boxwatch-0", caller_call{"boxwatch", "inner", "", "", runs.at(0).second, {}, {}});
+        w.call("boxwatch-0", call_request{"boxwatch", "inner", "", "", runs.at(0).second, {}, {}});
         w.run_for(milliseconds(60));
         CHECK(answers.size() == (guarded ? 0 : 1));  // the violation: the newer time limit
         w.answer_run("boxwatch-0", runs.at(1).first, worker_end::answered);
--- a/test/unit/caller_repeat.cpp
+++ b/test/unit/caller_repeat.cpp
@@ -10,7 +10,7 @@
 {
     repeat_policy policy{3, seconds(10)};
     repeat_state state;
-    caller_call request{"till", "deposit", "r1", "", "", {}, {}};
+    call_request request{"till", "deposit", "r1", "", "", {}, {}};
     bool idempotent = true;
 
     repeat_plan after(wire::outcome outcome, wire::refusal why, std::uint32_t advice_ms = 700)
--- a/test/unit/cut_zone.cpp
+++ b/test/unit/cut_zone.cpp
@@ -54,7 +54,7 @@
     caller_answer ask(const std::string &entry, const std::string &service)
     {
         answers.clear();
-        w.call(entry, caller_call{service, "status", "", "", "", {}, {}});
+        w.call(entry, call_request{service, "status", "", "", "", {}, {}});
         w.run_for(milliseconds(20));
         REQUIRE(answers.size() == 1);
         return answers.front();
@@ -159,8 +159,8 @@
         CHECK(ask(entry_of(zone), "boxwatch").outcome == wire::outcome::ran);
     }
     CHECK(ask(entry_of("centurion"), "photodesk").refusal == wire::refusal::no_upstream);
-    w.cuts.erase({"midrand", "germiston"});
-    w.cuts.erase({"germiston", "midrand"});
+    w.partitions.erase({"midrand", "germiston"});
+    w.partitions.erase({"germiston", "midrand"});
     w.run_for(seconds(5));
     CHECK(ask(entry_of("midrand"), "photodesk").outcome == wire::outcome::ran);
     CHECK(ask(entry_of("centurion"), "photodesk").refusal == wire::refusal::no_upstream);
--- a/test/unit/member_changes.cpp
+++ b/test/unit/member_changes.cpp
@@ -98,7 +98,7 @@
     SUBCASE("5 % of frames lost")
     {
         start_fleet();
-        w.loss = 0.05;
+        w.loss_rate = 0.05;
         CHECK(measure_leave() <= seconds(2));
     }
 }
@@ -111,11 +111,11 @@
     const std::string leaver = names[7];
     w.feed(leaver, worker_leaving{});
     w.run_for(seconds(2));
-    CHECK(w.nodes.at(names[8]).routes.upstreams.at(leaver).leaving_until > w.now);
+    CHECK(w.nodes.at(names[8]).routes.upstreams.at(leaver).draining_until > w.now);
     w.feed(leaver, worker_announced{8});
     w.run_for(seconds(2));
     CHECK(count_seeing(leaver, member_state::alive) == fleet_size - 1);
-    CHECK(w.nodes.at(names[8]).routes.upstreams.at(leaver).leaving_until < w.now);
+    CHECK(w.nodes.at(names[8]).routes.upstreams.at(leaver).draining_until < w.now);
 }
 
 // Field crews get "connection lost" again and again: a worker died without a
@@ -125,16 +125,16 @@
     start_fleet();
     const std::string victim = names[0];
     w.on_run = [&](const std::string &instance, run_on_worker &&run) {
-        bool dead = w.dead_workers.count(instance) > 0;
+        bool dead = w.unreachable_workers.count(instance) > 0;
         w.answer_run(instance, run.run, dead ? worker_end::not_sent : worker_end::answered);
     };
-    w.dead_workers.insert(victim);
+    w.unreachable_workers.insert(victim);
     for (int i = 0; i < 30; ++i) {
-        w.call(victim, caller_call{"faultbook", "log", "", "", "", {}, {}});
+        w.call(victim, call_request{"faultbook", "log", "", "", "", {}, {}});
     }
     w.run_for(seconds(2));
     CHECK(count_seeing(victim, member_state::leaving) == fleet_size - 1);
-    w.dead_workers.clear();
+    w.unreachable_workers.clear();
     w.run_for(seconds(3));
     CHECK(count_seeing(victim, member_state::alive) == fleet_size - 1);
 }
--- a/test/unit/member_frozen.cpp
+++ b/test/unit/member_frozen.cpp
@@ -39,7 +39,7 @@
         REQUIRE(count_seeing(frozen, member_state::dead) == w.nodes.size() - 1);
         // The frames of its peers are lost with their connections.
         w.resume_without_events(frozen);
-        w.call(frozen, caller_call{"boxwatch", "check", "r1", "", "", {}, {}});
+        w.call(frozen, call_request{"boxwatch", "check", "r1", "", "", {}, {}});
     }
 };
 
@@ -78,7 +78,7 @@
     w.run_for(seconds(5));
     CHECK(w.nodes.at(frozen).members.members.at(frozen).version > before);
     CHECK(count_apart() == 0);
-    w.call(frozen, caller_call{"boxwatch", "check", "r2", "", "", {}, {}});
+    w.call(frozen, call_request{"boxwatch", "check", "r2", "", "", {}, {}});
     w.run_for(milliseconds(100));
     REQUIRE(answers.size() == 2);
     CHECK(answers[1].outcome == wire::outcome::ran);
--- a/test/unit/member_hour.cpp
+++ b/test/unit/member_hour.cpp
@@ -13,7 +13,7 @@
 {
     member_hour_fixture()
     {
-        w.tick_every = milliseconds(50);  // an hour of 60 nodes in seconds
+        w.tick_period = milliseconds(50);  // an hour of 60 nodes in seconds
     }
 
     /// \returns how often any node held a member for dead
@@ -37,7 +37,7 @@
     /// Loses 5 % of frames and stops one node after another for 500 ms.
     void disturb(duration length)
     {
-        w.loss = 0.05;
+        w.loss_rate = 0.05;
         time_point end = w.now + length;
         while (w.now < end) {
             const std::string &victim = names[draw_below(w.random, names.size())];
@@ -69,7 +69,7 @@
         disturb(seconds(3600));
         MESSAGE("suspicions over all views in the hour: ", count_suspicions());
         CHECK(count_deaths() == 0);
-        w.loss = 0;
+        w.loss_rate = 0;
         w.run_for(seconds(10));
         CHECK(count_apart() == 0);
     }
--- a/test/unit/mesh_chain.cpp
+++ b/test/unit/mesh_chain.cpp
@@ -16,11 +16,11 @@
     {
         run_ref id{++last};
         std::string request = "r" + std::to_string(last);
-        note_run(chain, id, request, "list");
+        record_run_start(chain, id, request, "list");
         for (int i = 0; i < calls; ++i) {
-            note_child(chain, request, "deep");
+            record_call(chain, request, "deep");
         }
-        note_run_end(chain, id, request, ended_well);
+        record_run_end(chain, id, request, ended_well);
     }
 };
 
--- a/test/unit/mesh_decisions.cpp
+++ b/test/unit/mesh_decisions.cpp
@@ -36,7 +36,7 @@
 
 TEST_CASE("split route, any stretch of requests, keeps the weights")
 {
-    traffic_route route = test::route_of("r", "/r/", "x", repeatability::idempotent);
+    traffic_route route = test::route_of("r", "/r/", "x", idempotency::idempotent);
     route.services = {{"x", 90}, {"y", 10}};
     mesh::traffic_split split;
     int chosen_y = 0;
@@ -49,8 +49,8 @@
 TEST_CASE("route, longest prefix of the host, is found")
 {
     traffic_policy policy =
-        test::policy_of(1, {test::route_of("short", "/a/", "x", repeatability::idempotent),
-                            test::route_of("long", "/a/b/", "y", repeatability::idempotent)});
+        test::policy_of(1, {test::route_of("short", "/a/", "x", idempotency::idempotent),
+                            test::route_of("long", "/a/b/", "y", idempotency::idempotent)});
     CHECK(find_route(policy, "h", "/a/c/d")->name == "short");
     CHECK(find_route(policy, "H:80", "/a/b/d?q=/a/")->name == "long");
     CHECK(find_route(policy, "h", "/a/b")->name == "short");
@@ -92,8 +92,8 @@
     nodes.nodes["good"] = view_of("good", "a", 20, 5, 20000);
     nodes.nodes["bad"] = view_of("bad", "a", 20, 5, 20000);
     for (int i = 0; i < 30; ++i) {
-        note_sent(nodes, "bad");
-        note_call_end(nodes, "bad", mesh::call_end::failed, time_point(seconds(10)));
+        record_sent_call(nodes, "bad");
+        record_call_result(nodes, "bad", mesh::call_end::failed, time_point(seconds(10)));
     }
     CHECK(choose_nodes(nodes)["bad"] < 50);
 }
@@ -102,11 +102,11 @@
 {
     mesh::run_gate gate;
     gate.slots = 1;
-    gate.run_us = 10000;
+    gate.mean_run_us = 10000;
     auto waits = [&](std::uint64_t run, std::uint16_t priority, bool inner, int due_ms, bool late) {
         time_point due{milliseconds(due_ms)};
-        return enter_gate(gate, {run_ref{run}, priority, inner, seconds(1), due, late, !inner}) ==
-               gate_verdict::wait;
+        return request_slot(gate, {run_ref{run}, priority, inner, seconds(1), due, late, !inner}) ==
+               gate_verdict::queued;
     };
     CHECK_FALSE(waits(1, 2, false, 900, false));  // gets the slot
     CHECK(waits(2, 2, true, 900, false));
@@ -114,10 +114,10 @@
     CHECK(waits(4, 2, false, 200, false));
     CHECK(waits(5, 0, false, 900, false));
     CHECK(waits(6, 2, false, 900, false));
-    CHECK_FALSE(next_run(gate));
+    CHECK_FALSE(dequeue_run(gate));
     for (std::uint64_t expected : {5, 4, 2, 6, 3}) {
-        give_back_slot(gate, milliseconds(10));
-        CHECK(next_run(gate) == run_ref{expected});
+        release_slot(gate, milliseconds(10));
+        CHECK(dequeue_run(gate) == run_ref{expected});
     }
 }
 
@@ -129,58 +129,58 @@
     mesh::run_gate gate;
     gate.slots = 10;
     gate.running = 10;
-    gate.run_us = 20000;
+    gate.mean_run_us = 20000;
     constexpr std::uint64_t many = 100;
     auto call_of_run = [&](std::uint64_t run, duration left) {
-        return enter_gate(gate, {run_ref{run}, 2, true, left, {}, false, false});
+        return request_slot(gate, {run_ref{run}, 2, true, left, {}, false, false});
     };
     for (std::uint64_t i = 1; i <= many; ++i) {
-        REQUIRE(call_of_run(i, milliseconds(700)) == gate_verdict::wait);
+        REQUIRE(call_of_run(i, milliseconds(700)) == gate_verdict::queued);
     }
-    CHECK(enter_gate(gate, {run_ref{many + 1}, 2, false, seconds(2)}) == gate_verdict::full);
-    CHECK(enter_gate(gate, {run_ref{many + 2}, 0, false, seconds(2)}) == gate_verdict::wait);
-    CHECK(call_of_run(many + 3, milliseconds(100)) == gate_verdict::full);
+    CHECK(request_slot(gate, {run_ref{many + 1}, 2, false, seconds(2)}) == gate_verdict::refused);
+    CHECK(request_slot(gate, {run_ref{many + 2}, 0, false, seconds(2)}) == gate_verdict::queued);
+    CHECK(call_of_run(many + 3, milliseconds(100)) == gate_verdict::refused);
 }
 
 TEST_CASE("gate with a queue, call that would wait too long, is refused")
 {
     mesh::run_gate gate;
     gate.slots = 1;
-    gate.run_us = 100000;
-    CHECK(enter_gate(gate, {run_ref{1}, 0, false, seconds(1)}) == gate_verdict::start);
-    CHECK(enter_gate(gate, {run_ref{2}, 0, false, milliseconds(100)}) == gate_verdict::full);
-    CHECK(enter_gate(gate, {run_ref{3}, 0, false, seconds(1)}) == gate_verdict::wait);
+    gate.mean_run_us = 100000;
+    CHECK(request_slot(gate, {run_ref{1}, 0, false, seconds(1)}) == gate_verdict::granted);
+    CHECK(request_slot(gate, {run_ref{2}, 0, false, milliseconds(100)}) == gate_verdict::refused);
+    CHECK(request_slot(gate, {run_ref{3}, 0, false, seconds(1)}) == gate_verdict::queued);
 }
 
 // Guards against retry storms: if every node retries all failed calls, an overloaded
 // service gets twice the load. A node's retries stay below a share of its own requests.
 TEST_CASE("repeats to a service, many failures, stay within the budget")
 {
-    mesh::repeat_budget budget;
+    mesh::retry_token_bucket budget;
     int repeats = 0;
     for (int i = 0; i < 1000; ++i) {
-        mesh::earn_repeat(budget, 0.2);
-        if (can_repeat(budget, 1)) {
-            spend_repeat(budget, 1);
+        mesh::earn_retry_tokens(budget, 0.2);
+        if (has_retry_tokens(budget, 1)) {
+            spend_retry_tokens(budget, 1);
             ++repeats;
         }
     }
     CHECK(repeats <= 100);
     CHECK(repeats >= 95);
-    CHECK_FALSE(can_repeat(budget, 5));
+    CHECK_FALSE(has_retry_tokens(budget, 5));
 }
 
 // A service with few requests loses an occasional answer. The share of its requests earns
 // almost no retries, but this node's part of the slack has to pay for a few.
 TEST_CASE("repeats to a service, few requests, are paid by the slack of all nodes")
 {
-    mesh::repeat_budget budget;
-    mesh::repeat_slack slack{48, seconds(10), 15};
-    accrue_slack(budget, slack, time_point(seconds(100)));
+    mesh::retry_token_bucket budget;
+    mesh::retry_slack slack{48, seconds(10), 15};
+    accrue_slack_tokens(budget, slack, time_point(seconds(100)));
     double before = budget.tokens;
-    accrue_slack(budget, slack, time_point(seconds(105)));
+    accrue_slack_tokens(budget, slack, time_point(seconds(105)));
     CHECK(budget.tokens - before <= 48.0 / 15 / 2);
-    CHECK(can_repeat(budget, 1));
+    CHECK(has_retry_tokens(budget, 1));
 }
 
 // Guards against exceeding the retry limit after a quiet period: for a minute nothing
@@ -191,17 +191,17 @@
     constexpr int nodes = 85;
     constexpr int per_s = 120;  // callers' requests to the service, over all nodes
     constexpr double allowed = 0.2 * per_s * 10 + 115;
-    mesh::repeat_slack slack{115, seconds(10), nodes};
-    std::vector<mesh::repeat_budget> budgets(nodes);
+    mesh::retry_slack slack{115, seconds(10), nodes};
+    std::vector<mesh::retry_token_bucket> budgets(nodes);
     int repeats = 0;
     for (int i = 0; i < 70 * per_s; ++i) {
         time_point now{seconds(100) + duration(i * 1000000LL / per_s)};
-        mesh::repeat_budget &budget = budgets[static_cast<std::size_t>(i % nodes)];
-        accrue_slack(budget, slack, now);
-        mesh::earn_repeat(budget, 0.2);
+        mesh::retry_token_bucket &budget = budgets[static_cast<std::size_t>(i % nodes)];
+        accrue_slack_tokens(budget, slack, now);
+        mesh::earn_retry_tokens(budget, 0.2);
         bool has_failed = i >= 60 * per_s;
-        for (int tries = 0; has_failed && tries < 10 && can_repeat(budget, 1); ++tries) {
-            spend_repeat(budget, 1);
+        for (int tries = 0; has_failed && tries < 10 && has_retry_tokens(budget, 1); ++tries) {
+            spend_retry_tokens(budget, 1);
             ++repeats;
         }
     }
@@ -213,12 +213,12 @@
 TEST_CASE("call of a run, id that shows its run, is tied to it")
 {
     mesh::call_chain chain;
-    note_run(chain, run_ref{7}, "abc.12", "list");
+    record_run_start(chain, run_ref{7}, "abc.12", "list");
     CHECK(find_parent(chain, "abc.12.9f") == run_ref{7});
     CHECK_FALSE(find_parent(chain, "abc.12"));
     CHECK_FALSE(find_parent(chain, "abc"));
     CHECK_FALSE(find_parent(chain, ""));
-    note_run_end(chain, run_ref{7}, "abc.12", true);
+    record_run_end(chain, run_ref{7}, "abc.12", true);
     CHECK_FALSE(find_parent(chain, "abc.12.9f"));
 }
 
@@ -255,16 +255,16 @@
 struct zone_plan_fixture
 {
     traffic_policy policy =
-        test::policy_of(1, {test::route_of("f", "/f/", "front", repeatability::idempotent),
-                            test::route_of("m", "/m/", "middle", repeatability::idempotent),
-                            test::route_of("d", "/d/", "deep", repeatability::idempotent)});
+        test::policy_of(1, {test::route_of("f", "/f/", "front", idempotency::idempotent),
+                            test::route_of("m", "/m/", "middle", idempotency::idempotent),
+                            test::route_of("d", "/d/", "deep", idempotency::idempotent)});
     std::map<std::string, mesh::calls_per_run> calls{{"f", {{"m", 1}}}, {"m", {{"d", 4}}}};
     mesh::service_zones present{{"front", {"a", "b"}}, {"middle", {"a", "b"}}, {"deep", {"b"}}};
 
     /// \returns the share of calls of \a route from zone a that stay there
     double stay(const std::string &route) const
     {
-        mesh::zone_plan plan = mesh::plan_zones(policy, calls, present);
+        mesh::zone_plan plan = mesh::make_zone_plan(policy, calls, present);
         mesh::directory nodes;
         nodes.nodes["near"] = view_of("near", "a", 20, 5, 10000);
         nodes.nodes["far"] = view_of("far", "b", 20, 5, 10000);
@@ -289,10 +289,10 @@
     CHECK(stay("m") == 0);
     CHECK(stay("f") == 1);
     CHECK(stay("d") == 1);
-    mesh::zone_plan plan = mesh::plan_zones(policy, calls, present);
-    CHECK(crossings_below(plan, "m", "a") == 4);
-    CHECK(crossings_below(plan, "f", "a") == 1);
-    CHECK(crossings_below(plan, "f", "b") == 0);
+    mesh::zone_plan plan = mesh::make_zone_plan(policy, calls, present);
+    CHECK(cross_zone_calls_below(plan, "m", "a") == 4);
+    CHECK(cross_zone_calls_below(plan, "f", "a") == 1);
+    CHECK(cross_zone_calls_below(plan, "f", "b") == 0);
 }
 
 TEST_CASE_FIXTURE(zone_plan_fixture, "zones with all services, all calls, stay in the zone")
@@ -310,14 +310,14 @@
 
 TEST_CASE("switches, unknown name, says which")
 {
-    mesh::mesh_switches on;
-    CHECK(succeeded(switch_off(on, "")));
-    CHECK(on == mesh::mesh_switches{});
-    REQUIRE(succeeded(switch_off(on, "repeats,zone_plan")));
+    mesh::mesh_features on;
+    CHECK(succeeded(disable_features(on, "")));
+    CHECK(on == mesh::mesh_features{});
+    REQUIRE(succeeded(disable_features(on, "repeats,zone_plan")));
     CHECK_FALSE(on.repeats);
     CHECK_FALSE(on.zone_plan);
     CHECK(on.admission);
-    auto failed = switch_off(on, "admission,magic");
+    auto failed = disable_features(on, "admission,magic");
     REQUIRE_FALSE(succeeded(failed));
     CHECK(error_of(failed).message == "unknown feature 'magic'");
 }
--- a/test/unit/mesh_demand.cpp
+++ b/test/unit/mesh_demand.cpp
@@ -19,33 +19,33 @@
 /// 3,000 calls a second.
 struct long_chain_fixture
 {
-    test::mesh_world w{31};
+    test::mesh_simulation w{31};
     test::random_load load{{"f1", "f2", "f3", "f4", "m1", "d3"}};
 
     long_chain_fixture()
     {
         w.policy = test::policy_of(
-            1, {test::route_of("order", "/order/", "front", repeatability::non_idempotent, 0),
-                test::route_of("list", "/list/", "front", repeatability::idempotent, 2),
-                test::route_of("lookup", "/lookup/", "deep", repeatability::idempotent, 1),
-                test::route_of("mid-call", "/mid/", "mid", repeatability::idempotent, 1),
-                test::route_of("deep-call", "/deep/", "deep", repeatability::idempotent, 1)});
+            1, {test::route_of("order", "/order/", "front", idempotency::non_idempotent, 0),
+                test::route_of("list", "/list/", "front", idempotency::idempotent, 2),
+                test::route_of("lookup", "/lookup/", "deep", idempotency::idempotent, 1),
+                test::route_of("mid-call", "/mid/", "mid", idempotency::idempotent, 1),
+                test::route_of("deep-call", "/deep/", "deep", idempotency::idempotent, 1)});
         test::upstream_model front{"front", 200, milliseconds(150)};
         front.calls["/order/x"] = {"h", "/mid/x", 2};
         front.calls["/list/x"] = {"h", "/mid/x", 1};
         test::upstream_model mid{"mid", 200, milliseconds(15)};
         mid.calls["/mid/x"] = {"h", "/deep/x", 4};
         for (const char *name : {"f1", "f2", "f3", "f4"}) {
-            w.add(name, "a", front);
+            w.add_node(name, "a", front);
         }
         for (const char *name : {"m1", "m2", "m3"}) {
-            w.add(name, "a", mid);
+            w.add_node(name, "a", mid);
         }
         for (const char *name : {"d1", "d2"}) {
-            w.add(name, "a", test::upstream_model{"deep", 21, milliseconds(20)});
+            w.add_node(name, "a", test::upstream_model{"deep", 21, milliseconds(20)});
         }
         for (const char *name : {"d3", "d4"}) {
-            w.add(name, "a", test::upstream_model{"deep", 21, milliseconds(40)});
+            w.add_node(name, "a", test::upstream_model{"deep", 21, milliseconds(40)});
         }
         w.run_for(seconds(1));
     }
@@ -53,9 +53,9 @@
     /// Sends \a times the capacity of the deep service at random times.
     void send_load(duration length, double times)
     {
-        ask_at_random(w, load, {"order", times * 100}, length);
-        ask_at_random(w, load, {"list", times * 500}, length);
-        ask_at_random(w, load, {"lookup", times * 200}, length);
+        schedule_random_requests(w, load, {"order", times * 100}, length);
+        schedule_random_requests(w, load, {"list", times * 500}, length);
+        schedule_random_requests(w, load, {"lookup", times * 200}, length);
         w.run_for(length);
     }
 
@@ -64,7 +64,7 @@
         kind_outcome out;
         double all = 0;
         for (const auto &[id, it] : w.results) {
-            if (id.compare(0, kind.size() + 1, kind + "-") == 0 && it.asked_at >= since) {
+            if (id.compare(0, kind.size() + 1, kind + "-") == 0 && it.sent_at >= since) {
                 ++all;
                 out.served += it.status == 200 ? 1 : 0;
                 out.refused += it.status == 503 ? 1 : 0;
--- a/test/unit/mesh_gate_order.cpp
+++ b/test/unit/mesh_gate_order.cpp
@@ -18,33 +18,32 @@
 /// may take more than a second.
 struct shared_leaf_fixture
 {
-    test::mesh_world w{57};
+    test::mesh_simulation w{57};
     test::random_load load{{"f1", "f2", "l1", "l2"}};
 
     shared_leaf_fixture()
     {
         traffic_route notice =
-            test::route_of("notice", "/notice/", "leaf", repeatability::non_idempotent, 2);
+            test::route_of("notice", "/notice/", "leaf", idempotency::non_idempotent, 2);
         notice.latency_objective = milliseconds(250);
-        traffic_route list =
-            test::route_of("list", "/list/", "front", repeatability::idempotent, 2);
+        traffic_route list = test::route_of("list", "/list/", "front", idempotency::idempotent, 2);
         list.latency_objective = milliseconds(1200);
-        traffic_route call = test::route_of("call", "/call/", "leaf", repeatability::idempotent, 1);
+        traffic_route call = test::route_of("call", "/call/", "leaf", idempotency::idempotent, 1);
         w.policy = test::policy_of(1, {notice, list, call});
         test::upstream_model front{"front", 300, milliseconds(60)};
         front.calls["/list/x"] = {"h", "/call/x", 8};
         for (const char *name : {"f1", "f2"}) {
-            w.add(name, "a", front);
+            w.add_node(name, "a", front);
         }
         for (const char *name : {"l1", "l2"}) {
-            w.add(name, "a", test::upstream_model{"leaf", 18, milliseconds(25)});
+            w.add_node(name, "a", test::upstream_model{"leaf", 18, milliseconds(25)});
         }
     }
 
-    void set(bool mesh::mesh_switches::*flag, bool value)
+    void set(bool mesh::mesh_features::*flag, bool value)
     {
         for (auto &[name, node] : w.nodes) {
-            node.on.*flag = value;
+            node.features.*flag = value;
         }
     }
 
@@ -53,8 +52,8 @@
     {
         constexpr double notices = 80;
         constexpr double lists = 160;
-        ask_at_random(w, load, {"notice", times * notices, seconds(1)}, length);
-        ask_at_random(w, load, {"list", times * lists, seconds(5)}, length);
+        schedule_random_requests(w, load, {"notice", times * notices, seconds(1)}, length);
+        schedule_random_requests(w, load, {"list", times * lists, seconds(5)}, length);
         w.run_for(length);
     }
 
@@ -63,15 +62,15 @@
         outcome_share out;
         double all = 0;
         for (const auto &[id, it] : w.results) {
-            if (id.compare(0, kind.size() + 1, kind + "-") != 0 || it.asked_at < since) {
+            if (id.compare(0, kind.size() + 1, kind + "-") != 0 || it.sent_at < since) {
                 continue;
             }
-            if (it.why == mesh_wire::reason::overload) {
+            if (it.refusal_reason == mesh_wire::reason::overload) {
                 continue;
             }
             ++all;
             bool is_good = it.status == 200;
-            out.in_time += is_good && it.answered_at - it.asked_at <= objective ? 1 : 0;
+            out.in_time += is_good && it.answered_at - it.sent_at <= objective ? 1 : 0;
             out.failed += !is_good && it.status != 503 ? 1 : 0;
         }
         out.in_time /= all;
@@ -95,7 +94,7 @@
         ordered = false;
     }
     w.run_for(seconds(1));
-    set(&mesh::mesh_switches::gate_order, ordered);
+    set(&mesh::mesh_features::gate_order, ordered);
     send_load(seconds(3), 0.7);
     time_point burst = w.now;
     send_load(seconds(2), 2.5);
--- a/test/unit/mesh_levels.cpp
+++ b/test/unit/mesh_levels.cpp
@@ -19,27 +19,26 @@
 /// go directly to the deep service. The deep service runs 2 x 1,000 calls a second.
 struct mesh_levels_fixture
 {
-    test::mesh_world w{7};
+    test::mesh_simulation w{7};
     int sent = 0;
 
     mesh_levels_fixture()
     {
         traffic_route called =
-            test::route_of("deep-call", "/deep/", "deep", repeatability::idempotent, 1);
+            test::route_of("deep-call", "/deep/", "deep", idempotency::idempotent, 1);
         w.policy = test::policy_of(
-            1,
-            {test::route_of("order", "/order/", "front", repeatability::non_idempotent, 0),
-             test::route_of("list", "/list/", "front", repeatability::idempotent, 2),
-             test::route_of("lookup", "/lookup/", "deep", repeatability::idempotent, 1), called});
+            1, {test::route_of("order", "/order/", "front", idempotency::non_idempotent, 0),
+                test::route_of("list", "/list/", "front", idempotency::idempotent, 2),
+                test::route_of("lookup", "/lookup/", "deep", idempotency::idempotent, 1), called});
         test::upstream_model front{"front", 200, milliseconds(20)};
         front.calls["/order/x"] = {"h", "/deep/x", 2};
         front.calls["/list/x"] = {"h", "/deep/x", 5};
         test::upstream_model deep{"deep", 21, milliseconds(20)};
         for (const char *name : {"f1", "f2"}) {
-            w.add(name, "a", front);
+            w.add_node(name, "a", front);
         }
         for (const char *name : {"d1", "d2"}) {
-            w.add(name, "a", deep);
+            w.add_node(name, "a", deep);
         }
         w.run_for(seconds(1));
     }
@@ -52,11 +51,12 @@
             auto n = static_cast<int>(per_s * std::chrono::duration<double>(length).count());
             for (int i = 0; i < n; ++i) {
                 std::string kind = path;
-                w.at(w.now + duration(static_cast<std::int64_t>(i * 1e6 / per_s)), [this, kind] {
-                    std::string id = kind + "-" + std::to_string(++sent);
-                    const char *node = sent % 2 == 0 ? "f1" : "d2";
-                    w.request(node, id, "/" + kind + "/x", seconds(2));
-                });
+                w.schedule_at(w.now + duration(static_cast<std::int64_t>(i * 1e6 / per_s)),
+                              [this, kind] {
+                                  std::string id = kind + "-" + std::to_string(++sent);
+                                  const char *node = sent % 2 == 0 ? "f1" : "d2";
+                                  w.send_request(node, id, "/" + kind + "/x", seconds(2));
+                              });
             }
         }
         w.run_for(length);
@@ -68,7 +68,7 @@
         double all = 0;
         std::vector<double> latencies_s;
         for (const auto &[id, it] : w.results) {
-            if (id.compare(0, kind.size() + 1, kind + "-") != 0 || it.asked_at < since) {
+            if (id.compare(0, kind.size() + 1, kind + "-") != 0 || it.sent_at < since) {
                 continue;
             }
             ++all;
@@ -76,7 +76,7 @@
             out.refused += it.status == 503 ? 1 : 0;
             if (it.status == 200) {
                 latencies_s.push_back(
-                    std::chrono::duration<double>(it.answered_at - it.asked_at).count());
+                    std::chrono::duration<double>(it.answered_at - it.sent_at).count());
             }
         }
         std::sort(latencies_s.begin(), latencies_s.end());
@@ -153,23 +153,24 @@
 
 TEST_CASE("services of a chain, cheap route of a middle class, is cut with the first class")
 {
-    mesh::service_levels plan;
+    mesh::admission_plan plan;
     plan.calls["order"] = {{"deep-call", 2.0}};
     plan.calls["list"] = {{"deep-call", 5.0}};
     traffic_policy policy = test::policy_of(
-        1, {test::route_of("order", "/order/", "front", repeatability::non_idempotent, 0),
-            test::route_of("list", "/list/", "front", repeatability::idempotent, 2),
-            test::route_of("lookup", "/lookup/", "deep", repeatability::idempotent, 1),
-            test::route_of("deep-call", "/deep/", "deep", repeatability::idempotent, 1)});
-    plan_levels(plan, policy);
-    CHECK(plan.needs.at("list").at("deep") == doctest::Approx(5));
+        1, {test::route_of("order", "/order/", "front", idempotency::non_idempotent, 0),
+            test::route_of("list", "/list/", "front", idempotency::idempotent, 2),
+            test::route_of("lookup", "/lookup/", "deep", idempotency::idempotent, 1),
+            test::route_of("deep-call", "/deep/", "deep", idempotency::idempotent, 1)});
+    update_admission_plan(plan, policy);
+    CHECK(plan.runs_per_request.at("list").at("deep") == doctest::Approx(5));
     const auto &weights = plan.weights.at("deep");
     CHECK(weights.at("order") == 1);
     CHECK(weights.at("lookup") == 1);
-    CHECK(weights.at("list") == doctest::Approx(mesh::class_step * mesh::class_step));
+    CHECK(weights.at("list") ==
+          doctest::Approx(mesh::class_weight_ratio * mesh::class_weight_ratio));
     CHECK(weights.count("deep-call") == 0);
-    CHECK(admitted_share(shares_of(plan, "list", {{"deep", {1.0, 0}}})) < 0.25);
-    CHECK(admitted_share(shares_of(plan, "order", {{"deep", {1.0, 0}}})) == 1);
+    CHECK(admitted_share(admitted_shares_for(plan, "list", {{"deep", {1.0, 0}}})) < 0.25);
+    CHECK(admitted_share(admitted_shares_for(plan, "order", {{"deep", {1.0, 0}}})) == 1);
 }
 
 namespace {
@@ -181,10 +182,10 @@
     {
         send_load(seconds(2), 100, 100, 10);  // learns the calls per run
         for (auto &[name, n] : w.nodes) {
-            n.on.chains_need_all = chains_need_all;
+            n.features.chains_need_all = chains_need_all;
         }
-        w.beat("d1", mesh_wire::upstream_state::draining);
-        w.beat("d2", mesh_wire::upstream_state::draining);
+        w.send_heartbeat("d1", mesh_wire::upstream_state::draining);
+        w.send_heartbeat("d2", mesh_wire::upstream_state::draining);
         w.run_for(milliseconds(200));
         time_point drained_at = w.now;
         send_load(seconds(2), 100, 100, 10);
--- a/test/unit/mesh_path.cpp
+++ b/test/unit/mesh_path.cpp
@@ -13,25 +13,25 @@
 /// Three nodes of one service in two zones, and one node of another service.
 struct mesh_path_fixture
 {
-    test::mesh_world w{2026};
+    test::mesh_simulation w{2026};
 
     mesh_path_fixture()
     {
         w.policy = test::policy_of(
-            3, {test::route_of("read", "/read/", "books", repeatability::idempotent),
-                test::route_of("order", "/order/", "books", repeatability::non_idempotent),
-                test::route_of("photo", "/photo/", "photos", repeatability::non_idempotent)});
-        w.add("a1", "a", test::upstream_model{"books"});
-        w.add("a2", "a", test::upstream_model{"books"});
-        w.add("b1", "b", test::upstream_model{"books"});
-        w.add("p1", "a", test::upstream_model{"photos"});
+            3, {test::route_of("read", "/read/", "books", idempotency::idempotent),
+                test::route_of("order", "/order/", "books", idempotency::non_idempotent),
+                test::route_of("photo", "/photo/", "photos", idempotency::non_idempotent)});
+        w.add_node("a1", "a", test::upstream_model{"books"});
+        w.add_node("a2", "a", test::upstream_model{"books"});
+        w.add_node("b1", "b", test::upstream_model{"books"});
+        w.add_node("p1", "a", test::upstream_model{"photos"});
         w.run_for(seconds(1));
     }
 
     const test::caller_result &run_request(const std::string &node, const std::string &id,
                                            const std::string &path, duration left = long_deadline)
     {
-        w.request(node, id, path, left);
+        w.send_request(node, id, path, left);
         w.run_for(left + milliseconds(200));
         return w.results.at(id);
     }
@@ -65,9 +65,9 @@
 TEST_CASE_FIXTURE(mesh_path_fixture, "draining upstream: receives no call in flight")
 {
     for (int i = 0; i < 20; ++i) {
-        w.request("p1", "r" + std::to_string(i), "/order/x", long_deadline);
+        w.send_request("p1", "r" + std::to_string(i), "/order/x", long_deadline);
     }
-    w.beat("a1", upstream_state::draining);
+    w.send_heartbeat("a1", upstream_state::draining);
     time_point drained_at = w.now;
     w.run_for(seconds(1));
     for (const test::upstream_run &it : w.runs) {
@@ -82,11 +82,11 @@
 // acknowledged the draining is replaced by one that does not know of it.
 TEST_CASE_FIXTURE(mesh_path_fixture, "restarted node: dispatches nothing before a heartbeat")
 {
-    w.beat("p1", upstream_state::draining);
-    w.start("p1", "a");
+    w.send_heartbeat("p1", upstream_state::draining);
+    w.start_node("p1", "a");
     CHECK(run_request("p1", "r1", "/photo/x").status == 503);
     CHECK(w.runs_of("r1") == 0);
-    w.beat("p1", upstream_state::ready);
+    w.send_heartbeat("p1", upstream_state::ready);
     CHECK(run_request("p1", "r2", "/photo/x").status == 200);
 }
 
@@ -96,44 +96,44 @@
 {
     mesh::own_upstream own;
     mesh::upstream_heartbeat beat{"u", "books", "", 100, 5, upstream_state::ready, 10, {}};
-    CHECK(take_heartbeat(own, beat, w.now) == mesh::heartbeat_verdict::taken);
+    CHECK(apply_heartbeat(own, beat, w.now) == mesh::heartbeat_verdict::accepted);
     mesh::upstream_heartbeat drains = beat;
     drains.sequence = 6;
     drains.state = upstream_state::draining;
-    CHECK(take_heartbeat(own, drains, w.now) == mesh::heartbeat_verdict::taken);
-    CHECK(take_heartbeat(own, beat, w.now) == mesh::heartbeat_verdict::outdated);
-    CHECK_FALSE(takes_work(own));
-    take_leave(own, "u", 200);
-    CHECK(take_heartbeat(own, beat, w.now) == mesh::heartbeat_verdict::gone);
-    beat.born = 300;
+    CHECK(apply_heartbeat(own, drains, w.now) == mesh::heartbeat_verdict::accepted);
+    CHECK(apply_heartbeat(own, beat, w.now) == mesh::heartbeat_verdict::outdated);
+    CHECK_FALSE(accepts_work(own));
+    apply_leave(own, "u", 200);
+    CHECK(apply_heartbeat(own, beat, w.now) == mesh::heartbeat_verdict::departed);
+    beat.started_ms = 300;
     beat.sequence = 1;
-    CHECK(take_heartbeat(own, beat, w.now) == mesh::heartbeat_verdict::taken);
-    CHECK(takes_work(own));
+    CHECK(apply_heartbeat(own, beat, w.now) == mesh::heartbeat_verdict::accepted);
+    CHECK(accepts_work(own));
 }
 
 // Guards against running a call after its deadline. A network cut delays the frame by seconds;
 // by the time it arrives, the caller has been told that the outcome is unknown.
 TEST_CASE_FIXTURE(mesh_path_fixture, "delayed call: does not run after its deadline")
 {
-    w.cuts = {{"a1", "p1"}, {"p1", "a1"}};
-    w.request("a1", "r1", "/photo/x", seconds(2));
+    w.partitions = {{"a1", "p1"}, {"p1", "a1"}};
+    w.send_request("a1", "r1", "/photo/x", seconds(2));
     w.run_for(milliseconds(2500));
     CHECK(w.results.at("r1").status == 504);
-    w.cuts.clear();
+    w.partitions.clear();
     w.run_for(seconds(2));
     CHECK(w.runs_of("r1") == 0);
 }
 
 TEST_CASE_FIXTURE(mesh_path_fixture, "delayed call: runs late if the frame age is ignored")
 {
-    w.nodes.at("p1").on.age_of_frames = false;
-    w.cuts = {{"a1", "p1"}, {"p1", "a1"}};
-    w.request("a1", "r1", "/photo/x", seconds(2));
+    w.nodes.at("p1").features.age_of_frames = false;
+    w.partitions = {{"a1", "p1"}, {"p1", "a1"}};
+    w.send_request("a1", "r1", "/photo/x", seconds(2));
     w.run_for(milliseconds(1500));
-    w.cuts.clear();
+    w.partitions.clear();
     w.run_for(seconds(2));
     REQUIRE(w.runs_of("r1") == 1);
-    CHECK(w.runs.back().left > milliseconds(1500));
+    CHECK(w.runs.back().time_left > milliseconds(1500));
 }
 
 // Guards against retrying a non-idempotent call after its connection broke. Whether it ran is
@@ -142,7 +142,7 @@
                   "broken connection: non-idempotent call has an unknown outcome")
 {
     w.upstreams["p1"].run_time = milliseconds(500);
-    w.request("a1", "r1", "/photo/x", long_deadline);
+    w.send_request("a1", "r1", "/photo/x", long_deadline);
     w.run_for(milliseconds(100));
     w.break_links("a1", "p1");
     w.run_for(seconds(2));
@@ -157,7 +157,7 @@
     w.upstreams["p1"].shed = 1;
     const test::caller_result &result = run_request("a1", "r1", "/photo/x");
     CHECK(result.status == 503);
-    CHECK(result.why == reason::shed);
+    CHECK(result.refusal_reason == reason::shed);
     REQUIRE(result.retry_after);
     CHECK(*result.retry_after <= long_deadline / 3);
 }
@@ -168,11 +168,11 @@
 {
     w.upstreams["p1"].run_time = milliseconds(300);
     for (int i = 0; i < 30; ++i) {
-        w.request("a1", "r" + std::to_string(i), "/photo/x", long_deadline);
+        w.send_request("a1", "r" + std::to_string(i), "/photo/x", long_deadline);
     }
     w.run_for(milliseconds(50));
     for (int i = 0; i < 30; ++i) {
-        w.leave("a1", "r" + std::to_string(i));
+        w.close_caller("a1", "r" + std::to_string(i));
     }
     w.run_for(seconds(3));
     CHECK(w.runs.size() < 15);
@@ -181,8 +181,8 @@
 TEST_CASE_FIXTURE(mesh_path_fixture, "policy: an older version is rejected")
 {
     bool taken = true;
-    w.step("a1", [&](mesh::mesh_turn &t) {
-        taken = take_policy(t, test::policy_of(2, {}), "text", "peer");
+    w.run_node("a1", [&](mesh::mesh_turn &t) {
+        taken = apply_policy(t, test::policy_of(2, {}), "text", "peer");
     });
     CHECK_FALSE(taken);
     CHECK(w.nodes.at("a1").policy->version == 3);
@@ -193,12 +193,12 @@
 TEST_CASE_FIXTURE(mesh_path_fixture, "shortened timeout: applies to requests in flight")
 {
     w.upstreams["p1"].run_time = seconds(4);
-    w.request("a1", "r1", "/photo/x", long_deadline);
+    w.send_request("a1", "r1", "/photo/x", long_deadline);
     w.run_for(milliseconds(100));
     traffic_policy shorter = w.policy;
     shorter.version = 4;
     shorter.routes[2].timeout = seconds(1);
-    w.step("a1", [&](mesh::mesh_turn &t) { take_policy(t, shorter, "text", "store"); });
+    w.run_node("a1", [&](mesh::mesh_turn &t) { apply_policy(t, shorter, "text", "store"); });
     w.run_for(milliseconds(1000));
     CHECK(w.results.at("r1").status == 504);
 }
@@ -207,10 +207,10 @@
 // open for two seconds, so that the upstream is not idle; calls refused later run elsewhere.
 TEST_CASE_FIXTURE(mesh_path_fixture, "stopping node: calls to its upstream are sent elsewhere")
 {
-    w.step("a1", [](mesh::mesh_turn &t) { stop_node(t); });
-    CHECK(serves(w.nodes.at("a1"), w.now));
+    w.run_node("a1", [](mesh::mesh_turn &t) { stop_node(t); });
+    CHECK(accepts_runs(w.nodes.at("a1"), w.now));
     w.run_for(milliseconds(2200));
-    CHECK_FALSE(serves(w.nodes.at("a1"), w.now));
+    CHECK_FALSE(accepts_runs(w.nodes.at("a1"), w.now));
     for (int i = 0; i < 20; ++i) {
         CHECK(run_request("p1", "r" + std::to_string(i), "/order/x", milliseconds(200)).status ==
               200);
@@ -223,12 +223,12 @@
 // without being run.
 TEST_CASE_FIXTURE(mesh_path_fixture, "stopping node: late requests are refused")
 {
-    w.step("p1", [](mesh::mesh_turn &t) { stop_node(t); });
+    w.run_node("p1", [](mesh::mesh_turn &t) { stop_node(t); });
     CHECK(run_request("p1", "r1", "/read/x", milliseconds(500)).status == 200);
     w.run_for(seconds(2));
     const test::caller_result &result = run_request("p1", "r2", "/read/x", milliseconds(500));
     CHECK(result.status == 503);
-    CHECK(result.why == reason::stopping);
+    CHECK(result.refusal_reason == reason::stopping);
     CHECK(w.runs_of("r2") == 0);
 }
 
@@ -238,26 +238,27 @@
 /// reset, so that its connection still appears open.
 struct silent_link_fixture
 {
-    test::mesh_world w{11};
+    test::mesh_simulation w{11};
 
     silent_link_fixture()
     {
         w.policy = test::policy_of(
-            1, {test::route_of("read", "/read/", "books", repeatability::idempotent)});
-        w.add("a1", "a", test::upstream_model{"other"});
-        w.add("b1", "b", test::upstream_model{"books", 1000});
-        w.add("c1", "c", test::upstream_model{"books", 1000});
+            1, {test::route_of("read", "/read/", "books", idempotency::idempotent)});
+        w.add_node("a1", "a", test::upstream_model{"other"});
+        w.add_node("b1", "b", test::upstream_model{"books", 1000});
+        w.add_node("c1", "c", test::upstream_model{"books", 1000});
         w.run_for(seconds(1));
     }
 
     /// \returns the number of calls sent over the dropping link
     std::size_t run_cut(bool probes)
     {
-        w.nodes.at("a1").on.ask_quiet_nodes = probes;
-        w.cuts = {{"a1", "b1"}, {"b1", "a1"}};
+        w.nodes.at("a1").features.ask_quiet_nodes = probes;
+        w.partitions = {{"a1", "b1"}, {"b1", "a1"}};
         for (int i = 0; i < 300; ++i) {
-            w.at(w.now + milliseconds(5 * i),
-                 [this, i] { w.request("a1", "r" + std::to_string(i), "/read/x", long_deadline); });
+            w.schedule_at(w.now + milliseconds(5 * i), [this, i] {
+                w.send_request("a1", "r" + std::to_string(i), "/read/x", long_deadline);
+            });
         }
         w.run_for(milliseconds(1550));
         return w.nodes.at("a1").nodes.nodes.at("b1").in_flight;
@@ -265,7 +266,7 @@
 
     auto count_lines(const std::string &event) const
     {
-        return std::count_if(w.lines.begin(), w.lines.end(),
+        return std::count_if(w.log_lines.begin(), w.log_lines.end(),
                              [&](const mesh::write_line &it) { return it.event == event; });
     }
 };
@@ -292,13 +293,13 @@
     run_cut(true);
     CHECK(count_lines("node-silent") == 1);
     CHECK(count_lines("node-heard") == 0);
-    w.cuts.clear();
+    w.partitions.clear();
     w.run_for(milliseconds(200));
     CHECK(count_lines("node-silent") == 1);
     CHECK(count_lines("node-heard") == 1);
     std::size_t before = w.runs.size();
     for (int i = 0; i < 100; ++i) {
-        w.request("a1", "s" + std::to_string(i), "/read/x", long_deadline);
+        w.send_request("a1", "s" + std::to_string(i), "/read/x", long_deadline);
         w.run_for(milliseconds(20));
     }
     auto at_b = std::count_if(w.runs.begin() + static_cast<std::ptrdiff_t>(before), w.runs.end(),
--- a/test/unit/mesh_return_time.cpp
+++ b/test/unit/mesh_return_time.cpp
@@ -12,20 +12,20 @@
     duration least = seconds(5);
     duration most{};
     for (int i = 0; i < 1000; ++i) {
-        duration drawn = draw_return_time(it, random);
+        duration drawn = draw_retry_delay(it, random);
         least = std::min(least, drawn);
         most = std::max(most, drawn);
     }
     CHECK(least >= milliseconds(100));
     CHECK(most <= milliseconds(500));
     CHECK(most - least > milliseconds(300));
-    CHECK(mesh::latest_return_time({milliseconds(-5), duration{}}) == duration{});
+    CHECK(mesh::max_retry_delay({milliseconds(-5), duration{}}) == duration{});
 }
 
 TEST_CASE("return, upstreams not heard yet, is when they will be, if the caller has the time")
 {
-    CHECK(mesh::latest_return_time({seconds(5), milliseconds(1200)}) == milliseconds(1200));
-    CHECK(mesh::latest_return_time({seconds(1), milliseconds(1200)}) == milliseconds(300));
+    CHECK(mesh::max_retry_delay({seconds(5), milliseconds(1200)}) == milliseconds(1200));
+    CHECK(mesh::max_retry_delay({seconds(1), milliseconds(1200)}) == milliseconds(300));
 }
 
 namespace {
@@ -34,27 +34,27 @@
 /// upstream announces itself a second after the others.
 struct power_back_fixture
 {
-    test::mesh_world w{91};
+    test::mesh_simulation w{91};
 
     power_back_fixture()
     {
         w.policy = test::policy_of(
-            1, {test::route_of("list", "/list/", "front", repeatability::idempotent, 2),
-                test::route_of("call", "/call/", "deep", repeatability::idempotent, 1)});
+            1, {test::route_of("list", "/list/", "front", idempotency::idempotent, 2),
+                test::route_of("call", "/call/", "deep", idempotency::idempotent, 1)});
         test::upstream_model front{"front", 100, milliseconds(30)};
         front.calls["/list/x"] = {"h", "/call/x", 8};
-        w.add("f1", "a", front);
-        w.add("f2", "a", front);
-        w.add("d1", "a", test::upstream_model{"deep", 20, milliseconds(10)});
+        w.add_node("f1", "a", front);
+        w.add_node("f2", "a", front);
+        w.add_node("d1", "a", test::upstream_model{"deep", 20, milliseconds(10)});
         w.run_for(seconds(1));
     }
 
     void ask_lists(int from, int to)
     {
         for (int i = from; i < to; ++i) {
-            w.at(w.now + milliseconds(10 * (i - from)), [this, i] {
-                w.request(i % 2 == 0 ? "f1" : "f2", "list-" + std::to_string(i), "/list/x",
-                          seconds(5));
+            w.schedule_at(w.now + milliseconds(10 * (i - from)), [this, i] {
+                w.send_request(i % 2 == 0 ? "f1" : "f2", "list-" + std::to_string(i), "/list/x",
+                               seconds(5));
             });
         }
     }
@@ -77,16 +77,18 @@
     }
     ask_lists(0, 100);
     w.run_for(seconds(3));
-    REQUIRE(w.kept.count("list") == 1);
-    CHECK(w.kept["list"].at("call") > 7);
+    REQUIRE(w.stored_calls.count("list") == 1);
+    CHECK(w.stored_calls["list"].at("call") > 7);
     for (const char *name : {"f1", "f2", "d1"}) {
-        w.start(name, "a");
+        w.start_node(name, "a");
         if (kept) {
-            w.step(name, [&](mesh::mesh_turn &t) { take_kept_chain(t, "list", w.kept["list"]); });
+            w.run_node(name, [&](mesh::mesh_turn &t) {
+                restore_chain(t, "list", w.stored_calls["list"]);
+            });
         }
     }
-    w.beat("f1");
-    w.beat("f2");
+    w.send_heartbeat("f1");
+    w.send_heartbeat("f2");
     w.run_for(milliseconds(200));
     ask_lists(100, 150);
     w.run_for(seconds(2));
@@ -102,5 +104,5 @@
     MESSAGE("kept ", kept, " refused ", refused);
     CHECK((refused == 50) == kept);
     // Runs that failed at their first call must not lower the learned calls per run.
-    CHECK(w.kept["list"].at("call") > 7);
+    CHECK(w.stored_calls["list"].at("call") > 7);
 }
--- a/test/unit/mesh_stop.cpp
+++ b/test/unit/mesh_stop.cpp
@@ -12,28 +12,28 @@
 /// Two upstreams of one service and one of another service whose runs call it.
 struct mesh_stop_fixture
 {
-    test::mesh_world w{24};
+    test::mesh_simulation w{24};
 
     mesh_stop_fixture()
     {
         w.policy = test::policy_of(
-            3, {test::route_of("order", "/order/", "shop", repeatability::non_idempotent),
-                test::route_of("title", "/title/", "books", repeatability::idempotent),
-                test::route_of("index", "/index/", "books", repeatability::idempotent)});
+            3, {test::route_of("order", "/order/", "shop", idempotency::non_idempotent),
+                test::route_of("title", "/title/", "books", idempotency::idempotent),
+                test::route_of("index", "/index/", "books", idempotency::idempotent)});
         test::upstream_model books{"books"};
-        books.calls["/index/x"] = test::inner_calls{"h", "/unknown/x", 1};
+        books.calls["/index/x"] = test::nested_calls{"h", "/unknown/x", 1};
         test::upstream_model shop{"shop"};
-        shop.calls["/order/x"] = test::inner_calls{"h", "/title/x", 1};
-        w.add("a1", "a", books);
-        w.add("b1", "b", books);
-        w.add("s1", "a", shop);
+        shop.calls["/order/x"] = test::nested_calls{"h", "/title/x", 1};
+        w.add_node("a1", "a", books);
+        w.add_node("b1", "b", books);
+        w.add_node("s1", "a", shop);
         w.run_for(seconds(1));
     }
 
-    void switch_off(bool mesh::mesh_switches::*mechanism)
+    void switch_off(bool mesh::mesh_features::*mechanism)
     {
         for (auto &[name, n] : w.nodes) {
-            n.on.*mechanism = false;
+            n.features.*mechanism = false;
         }
     }
 
@@ -41,7 +41,7 @@
     void send_orders(duration d)
     {
         for (duration spent{}; spent < d; spent += milliseconds(20)) {
-            w.request("s1", "r" + std::to_string(++orders), "/order/x", long_deadline);
+            w.send_request("s1", "r" + std::to_string(++orders), "/order/x", long_deadline);
             w.run_for(milliseconds(20));
         }
     }
@@ -55,14 +55,14 @@
 
     int count_serving() const
     {
-        return (mesh::serves(w.nodes.at("a1"), w.now) ? 1 : 0) +
-               (mesh::serves(w.nodes.at("b1"), w.now) ? 1 : 0);
+        return (mesh::accepts_runs(w.nodes.at("a1"), w.now) ? 1 : 0) +
+               (mesh::accepts_runs(w.nodes.at("b1"), w.now) ? 1 : 0);
     }
 
     void stop_both()
     {
         for (const char *name : {"a1", "b1"}) {
-            w.step(name, [](mesh::mesh_turn &t) { stop_node(t); });
+            w.run_node(name, [](mesh::mesh_turn &t) { stop_node(t); });
         }
     }
 
@@ -71,8 +71,8 @@
     {
         for (auto [name, zone] : {std::pair("a1", "a"), std::pair("b1", "b")}) {
             if (w.nodes.at(name).gate_closed) {
-                w.start(name, zone);
-                w.beat(name);
+                w.start_node(name, zone);
+                w.send_heartbeat(name);
                 return;
             }
         }
@@ -115,7 +115,7 @@
 TEST_CASE_FIXTURE(mesh_stop_fixture,
                   "stopping node: gate closes after the delay if the upstream drains")
 {
-    w.beat("a1", upstream_state::draining);
+    w.send_heartbeat("a1", upstream_state::draining);
     stop_both();
     w.run_for(milliseconds(2200));
     CHECK(w.nodes.at("a1").gate_closed);
@@ -125,12 +125,12 @@
 // upstreams are being replaced.
 TEST_CASE_FIXTURE(mesh_stop_fixture, "call made by a run: waits while upstreams are briefly absent")
 {
-    w.request("s1", "r1", "/order/x", long_deadline);
-    w.beat("a1", upstream_state::draining);
-    w.beat("b1", upstream_state::draining);
+    w.send_request("s1", "r1", "/order/x", long_deadline);
+    w.send_heartbeat("a1", upstream_state::draining);
+    w.send_heartbeat("b1", upstream_state::draining);
     w.run_for(milliseconds(800));
     CHECK(w.results.at("r1").status == 0);
-    w.beat("a1", upstream_state::ready);
+    w.send_heartbeat("a1", upstream_state::ready);
     w.run_for(milliseconds(200));
     CHECK(w.results.at("r1").status == 200);
 }
@@ -139,9 +139,9 @@
 TEST_CASE_FIXTURE(mesh_stop_fixture,
                   "call made by a run: fails before its deadline if no upstream returns")
 {
-    w.request("s1", "r1", "/order/x", long_deadline);
-    w.beat("a1", upstream_state::draining);
-    w.beat("b1", upstream_state::draining);
+    w.send_request("s1", "r1", "/order/x", long_deadline);
+    w.send_heartbeat("a1", upstream_state::draining);
+    w.send_heartbeat("b1", upstream_state::draining);
     w.run_for(milliseconds(2600));
     CHECK(w.results.at("r1").status == 500);
 }
@@ -149,10 +149,10 @@
 // Guards against delaying a caller's request: it has not run, and its caller can retry elsewhere.
 TEST_CASE_FIXTURE(mesh_stop_fixture, "caller's request: refused at once without an upstream")
 {
-    w.beat("a1", upstream_state::draining);
-    w.beat("b1", upstream_state::draining);
+    w.send_heartbeat("a1", upstream_state::draining);
+    w.send_heartbeat("b1", upstream_state::draining);
     w.run_for(milliseconds(10));
-    w.request("s1", "r1", "/title/x", long_deadline);
+    w.send_request("s1", "r1", "/title/x", long_deadline);
     w.run_for(milliseconds(10));
     CHECK(w.results.at("r1").status == 503);
 }
@@ -161,9 +161,9 @@
 // upstream is left for a retry.
 TEST_CASE_FIXTURE(mesh_stop_fixture, "upstream error: forwarded if no other upstream is left")
 {
-    w.beat("b1", upstream_state::draining);
+    w.send_heartbeat("b1", upstream_state::draining);
     w.run_for(milliseconds(10));
-    w.request("s1", "r1", "/index/x", long_deadline);
+    w.send_request("s1", "r1", "/index/x", long_deadline);
     w.run_for(milliseconds(500));
     CHECK(w.results.at("r1").status == 500);
 }
@@ -171,8 +171,8 @@
 // Control: without ordered stops and waiting calls, orders are lost.
 TEST_CASE_FIXTURE(mesh_stop_fixture, "unordered stops and no waiting calls: orders are lost")
 {
-    switch_off(&mesh::mesh_switches::ordered_stops);
-    switch_off(&mesh::mesh_switches::waiting_calls);
+    switch_off(&mesh::mesh_features::ordered_stops);
+    switch_off(&mesh::mesh_features::waiting_calls);
     stop_both();
     send_orders(milliseconds(2500));
     CHECK(count_serving() == 0);
--- a/test/unit/node_cancel.cpp
+++ b/test/unit/node_cancel.cpp
@@ -24,7 +24,7 @@
 struct node_cancel_fixture
 {
     test::test_publisher publisher;
-    test::world w{5};
+    test::simulation w{5};
     std::vector<std::string> started;
     std::vector<std::string> cancelled;
     std::vector<caller_answer> answers;
@@ -39,7 +39,7 @@
                 w.feed(
                     instance,
                     call_arrived{call_ref{++last_call},
-                                 caller_call{"boxwatch", "status", "", "", run.context, {}, {}}});
+                                 call_request{"boxwatch", "status", "", "", run.context, {}, {}}});
             }
         };
         w.on_cancel = [this](const std::string &instance, run_ref) {
@@ -61,7 +61,7 @@
     call_ref ask(const std::string &operation)
     {
         call_ref id =
-            w.call("faultbook-1", caller_call{"dispatcher", operation, "r1", "key-1", "", {}, {}});
+            w.call("faultbook-1", call_request{"dispatcher", operation, "r1", "key-1", "", {}, {}});
         w.run_for(milliseconds(20));
         return id;
     }
--- a/test/unit/node_path.cpp
+++ b/test/unit/node_path.cpp
@@ -20,9 +20,9 @@
 )";
 
 /// Two nodes of two services in two zones, with workers that echo.
-struct node_path_fixture : test::echo_world
+struct node_path_fixture : test::echo_simulation
 {
-    node_path_fixture() : echo_world(1, bundle_text)
+    node_path_fixture() : echo_simulation(1, bundle_text)
     {
         add("boxwatch-1", "midrand", "boxwatch", 1);
         add("dispatcher-1", "germiston", "dispatcher", 2);
@@ -34,7 +34,7 @@
 
 TEST_CASE_FIXTURE(node_path_fixture, "call, entry at another service, answered whole")
 {
-    w.call("dispatcher-1", caller_call{"boxwatch", "check", "r1", "", "", {}, {1, 2, 3}});
+    w.call("dispatcher-1", call_request{"boxwatch", "check", "r1", "", "", {}, {1, 2, 3}});
     w.run_for(seconds(1));
     REQUIRE(answers.size() == 1);
     CHECK(answers[0].outcome == wire::outcome::ran);
@@ -48,7 +48,7 @@
 TEST_CASE_FIXTURE(node_path_fixture,
                   "call, unknown service, refused as not run with when to return")
 {
-    w.call("dispatcher-1", caller_call{"nothing", "check", "r1", "", "", {}, {}});
+    w.call("dispatcher-1", call_request{"nothing", "check", "r1", "", "", {}, {}});
     REQUIRE(answers.size() == 1);
     CHECK(answers[0].outcome == wire::outcome::not_run);
     CHECK(answers[0].refusal == wire::refusal::no_upstream);
@@ -58,7 +58,7 @@
 TEST_CASE_FIXTURE(node_path_fixture, "call, worker never answers, unknown at its deadline")
 {
     w.on_run = [](const std::string &, run_on_worker &&) {};
-    w.call("dispatcher-1", caller_call{"boxwatch", "check", "r1", "", "", milliseconds(100), {}});
+    w.call("dispatcher-1", call_request{"boxwatch", "check", "r1", "", "", milliseconds(100), {}});
     w.run_for(milliseconds(120));
     REQUIRE(answers.size() == 1);
     CHECK(answers[0].outcome == wire::outcome::unknown);
@@ -68,7 +68,7 @@
 
 TEST_CASE_FIXTURE(node_path_fixture, "stop, call in flight, finishes before it stops")
 {
-    w.call("dispatcher-1", caller_call{"boxwatch", "check", "r1", "", "", {}, {7}});
+    w.call("dispatcher-1", call_request{"boxwatch", "check", "r1", "", "", {}, {7}});
     w.run_for(milliseconds(2));
     w.feed("boxwatch-1", stop_requested{});
     CHECK_FALSE(w.nodes.at("boxwatch-1").stopped);
--- a/test/unit/node_restart.cpp
+++ b/test/unit/node_restart.cpp
@@ -30,7 +30,7 @@
 struct node_restart_fixture
 {
     test::test_publisher publisher;
-    test::world w{5};
+    test::simulation w{5};
     std::vector<caller_answer> answers;
     std::vector<run_on_worker> held;
 
@@ -94,7 +94,7 @@
 // requested ends after the restarted process has sent calls of its own.
 TEST_CASE_FIXTURE(node_restart_fixture, "restarted node, late reply to its former process, dropped")
 {
-    w.call("dispatcher-1", caller_call{"boxwatch", "order", "r0", "k0", "", {}, old_body});
+    w.call("dispatcher-1", call_request{"boxwatch", "order", "r0", "k0", "", {}, old_body});
     w.run_for(seconds(1));
     REQUIRE(held.size() == 1);
     run_ref late = held.front().run;
@@ -105,7 +105,7 @@
     constexpr int new_calls = 200;
     for (int i = 1; i <= new_calls; ++i) {
         w.call("dispatcher-1",
-               caller_call{"boxwatch", "check", "r" + std::to_string(i), "", "", {}, new_body});
+               call_request{"boxwatch", "check", "r" + std::to_string(i), "", "", {}, new_body});
     }
     w.run_for(milliseconds(10));
     w.answer_run("boxwatch-1", late, worker_end::answered, 200, old_body);
@@ -150,7 +150,7 @@
 // restarted and has no bundle yet.
 TEST_CASE_FIXTURE(node_restart_fixture, "call for the issuer of its key, no bundle there, told so")
 {
-    w.platform_cuts = {"midrand"};
+    w.platform_partitions = {"midrand"};
     w.kill("boxwatch-1");
     add("boxwatch-1", "boxwatch", 1);
     wire::frame_message frame = call_from("dispatcher-1");
--- a/test/unit/node_stop.cpp
+++ b/test/unit/node_stop.cpp
@@ -15,9 +15,9 @@
 )";
 
 /// Two nodes of two services, with workers that echo.
-struct node_stop_fixture : test::echo_world
+struct node_stop_fixture : test::echo_simulation
 {
-    node_stop_fixture() : echo_world(6, bundle_text)
+    node_stop_fixture() : echo_simulation(6, bundle_text)
     {
         add("boxwatch-1", "midrand", "boxwatch", 1);
         add("dispatcher-1", "midrand", "dispatcher", 2);
@@ -32,14 +32,14 @@
                 w.answer_run(instance, run.run, worker_end::answered);
                 return;
             }
-            w.call(instance, caller_call{"boxwatch", "check", "", "", run.context, {}, {}});
+            w.call(instance, call_request{"boxwatch", "check", "", "", run.context, {}, {}});
         };
-        w.call("dispatcher-1", caller_call{"dispatcher", "dispatch", "", "", "", {}, {}});
+        w.call("dispatcher-1", call_request{"dispatcher", "dispatch", "", "", "", {}, {}});
     }
 
     const caller_answer &ask(const std::string &entry)
     {
-        w.call(entry, caller_call{"boxwatch", "check", "", "", "", {}, {1}});
+        w.call(entry, call_request{"boxwatch", "check", "", "", "", {}, {1}});
         w.run_for(milliseconds(50));
         return answers.back();
     }
@@ -105,7 +105,7 @@
 {
     w.feed("boxwatch-1", worker_leaving{});
     w.run_for(milliseconds(100));
-    w.call("dispatcher-1", caller_call{"boxwatch", "check", "", "", "", {}, {}});
+    w.call("dispatcher-1", call_request{"boxwatch", "check", "", "", "", {}, {}});
     REQUIRE(answers.size() == 1);
     CHECK(answers[0].refusal == wire::refusal::no_upstream);
 }
@@ -113,7 +113,7 @@
 // Reproduces the failure above with the wait disabled.
 TEST_CASE_FIXTURE(node_stop_fixture, "call of a run, no upstream for a moment, lost without a wait")
 {
-    w.nodes.at("dispatcher-1").guards.calls_wait = false;
+    w.nodes.at("dispatcher-1").guards.wait_for_upstreams = false;
     w.feed("boxwatch-1", worker_leaving{});
     w.run_for(milliseconds(100));
     ask_dispatch();
--- a/test/unit/once_interleavings.cpp
+++ b/test/unit/once_interleavings.cpp
@@ -55,7 +55,7 @@
     interleaving(std::uint64_t seed, const once_guards &guards, bool settle_lost, tally &sums)
         : w_(seed), guards_(guards), settle_lost_(settle_lost), sums_(sums)
     {
-        w_.tick_every = milliseconds(40);
+        w_.tick_period = milliseconds(40);
         publisher().publish(w_.platform, bundle_text);
         w_.on_run = [this](const std::string &instance, run_on_worker &&run) {
             run_it(instance, std::move(run));
@@ -63,7 +63,7 @@
         w_.on_answer = [this](const std::string &, call_ref call, caller_answer &&answer) {
             take_answer(call, std::move(answer));
         };
-        w_.on_ask = [this](const platform_request &what) { return ask(what); };
+        w_.on_platform_request = [this](const platform_request &what) { return ask(what); };
         for (const std::string &letter : letters) {
             start_node(letter);
         }
@@ -83,9 +83,9 @@
         }
         w_.run_for(long_run ? duration(milliseconds(9000)) : duration(milliseconds(3000)));
         heal();
-        w_.tick_every = milliseconds(100);
+        w_.tick_period = milliseconds(100);
         w_.run_for(ejection_time);
-        w_.tick_every = milliseconds(40);
+        w_.tick_period = milliseconds(40);
         run_cut_off();
         check_not_run();
     }
@@ -132,8 +132,8 @@
         auto number = static_cast<std::uint16_t>(static_cast<unsigned char>(letter[0]));
         node &made = w_.add_node(test::make_settings("dispatcher-" + letter, zone, "dispatcher",
                                                      number, 4, publisher().trusted()));
-        made.once.guards = guards_;
-        made.once.writer.settle_lost_claims = settle_lost_;
+        made.idempotency.guards = guards_;
+        made.idempotency.writer.settle_lost_claims = settle_lost_;
     }
 
     platform_answer ask(const platform_request &what)
@@ -171,7 +171,7 @@
         auto kind = draw(3);
         std::string issuer = "dispatcher-" + letters[draw(4)];
         std::string key =
-            kind == 2 ? issue_key(w_.nodes.at(issuer).once, w_.now) : make_key(n, kind == 1);
+            kind == 2 ? issue_key(w_.nodes.at(issuer).idempotency, w_.now) : make_key(n, kind == 1);
         bool told = draw(4) != 0;
         auto attempts = 1 + draw(4);
         std::vector<duration> times;
@@ -196,14 +196,14 @@
 
     void send(const std::string &entry, const sent &it)
     {
-        caller_call call{"dispatcher",
-                         "dispatch",
-                         it.key + "#" + std::to_string(it.number),
-                         it.key,
-                         "",
-                         {},
-                         body_bytes(it.body.begin(), it.body.end()),
-                         it.told ? it.number : 0};
+        call_request call{"dispatcher",
+                          "dispatch",
+                          it.key + "#" + std::to_string(it.number),
+                          it.key,
+                          "",
+                          {},
+                          body_bytes(it.body.begin(), it.body.end()),
+                          it.told ? it.number : 0};
         // The answer can come before call() returns.
         next_sent_ = it;
         call_ref id = w_.call(entry, std::move(call));
@@ -283,12 +283,12 @@
                 w_.after(until, [this, instance] { w_.resume(instance); });
                 break;
             case 2:
-                w_.after(from, [this, zone, other] { w_.cuts.insert({zone, other}); });
-                w_.after(until, [this, zone, other] { w_.cuts.erase({zone, other}); });
+                w_.after(from, [this, zone, other] { w_.partitions.insert({zone, other}); });
+                w_.after(until, [this, zone, other] { w_.partitions.erase({zone, other}); });
                 break;
             case 3:
-                w_.after(from, [this, zone] { w_.platform_cuts.insert(zone); });
-                w_.after(until, [this, zone] { w_.platform_cuts.erase(zone); });
+                w_.after(from, [this, zone] { w_.platform_partitions.insert(zone); });
+                w_.after(until, [this, zone] { w_.platform_partitions.erase(zone); });
                 break;
             case 4:
                 w_.after(from, [this] { w_.platform.outage = true; });
@@ -304,8 +304,8 @@
     {
         calm_ = true;
         lossy_ = false;
-        w_.cuts.clear();
-        w_.platform_cuts.clear();
+        w_.partitions.clear();
+        w_.platform_partitions.clear();
         w_.platform.outage = false;
         for (const std::string &letter : letters) {
             w_.resume("dispatcher-" + letter);
@@ -321,14 +321,14 @@
         w_.platform.outage = true;
         for (const std::string &other : zones) {
             if (other != zone) {
-                w_.cuts.insert({zone, other});
+                w_.partitions.insert({zone, other});
             }
         }
         auto it = w_.nodes.find(instance);
         if (it == w_.nodes.end() || !it->second.bundles.in_force) {
             return;  // it died in the last moments
         }
-        std::string key = issue_key(it->second.once, w_.now);
+        std::string key = issue_key(it->second.idempotency, w_.now);
         send(instance, sent{key, 1, true, "body"});
         w_.run_for(milliseconds(450));
         send(instance, sent{key, 2, true, "body"});
@@ -368,7 +368,7 @@
         }
     }
 
-    test::world w_;
+    test::simulation w_;
     once_guards guards_;
     bool settle_lost_;
     tally &sums_;
--- a/test/unit/once_keys.cpp
+++ b/test/unit/once_keys.cpp
@@ -25,7 +25,7 @@
 struct once_keys_fixture
 {
     test::test_publisher publisher;
-    test::world w{1};
+    test::simulation w{1};
     std::map<call_ref, caller_answer> answers;
     std::map<std::string, int> runs;
 
@@ -54,7 +54,7 @@
 
     std::string issue(const std::string &instance)
     {
-        w.feed(instance, key_asked{call_ref{1000000}});
+        w.feed(instance, key_requested{call_ref{1000000}});
         const body_bytes &key = answers.at(call_ref{1000000}).body;
         return std::string(key.begin(), key.end());
     }
@@ -63,7 +63,7 @@
                        const body_bytes &body = {7})
     {
         call_ref id =
-            w.call(entry, caller_call{"dispatcher", "dispatch", "", key, "", {}, body, attempt});
+            w.call(entry, call_request{"dispatcher", "dispatch", "", key, "", {}, body, attempt});
         w.run_for(milliseconds(500));
         return answers.at(id);
     }
@@ -133,9 +133,9 @@
 TEST_CASE_FIXTURE(once_keys_fixture, "platform out for an hour, issued keys run, chosen refused")
 {
     send("dispatcher-1", "before", 1);
-    w.tick_every = milliseconds(100);
+    w.tick_period = milliseconds(100);
     w.platform.outage = true;
-    w.cuts.insert({"midrand", "germiston"});
+    w.partitions.insert({"midrand", "germiston"});
     std::uint32_t ran = 0;
     for (int minute = 0; minute < 60; minute += 5) {
         w.run_for(seconds(298));
--- a/test/unit/overload_decisions.cpp
+++ b/test/unit/overload_decisions.cpp
@@ -31,7 +31,7 @@
 struct overload_decisions_fixture
 {
     test::test_publisher publisher;
-    test::world w{1};
+    test::simulation w{1};
     std::vector<std::pair<time_point, caller_answer>> answers;
 
     overload_decisions_fixture()
@@ -49,7 +49,7 @@
 
     void send_call(const std::string &operation, const std::string &id)
     {
-        w.call("faultbook-1", caller_call{"boxwatch", operation, id, "", "", {}, {}});
+        w.call("faultbook-1", call_request{"boxwatch", operation, id, "", "", {}, {}});
     }
 };
 
@@ -65,9 +65,9 @@
 TEST_CASE_FIXTURE(overload_decisions_fixture,
                   "refusal by the entry, known level, answered within the same step")
 {
-    touch_table &known = w.nodes.at("faultbook-1").touches;
-    learn_touch(known, "boxwatch/status", "boxwatch");
-    learn_level(known, "boxwatch", admission_level{0}, w.now);
+    dependency_table &known = w.nodes.at("faultbook-1").touched_services;
+    record_reached(known, "boxwatch/status", "boxwatch");
+    record_reported_level(known, "boxwatch", admission_level{0}, w.now);
     send_call("status", "r1");
     REQUIRE(answers.size() == 1);
     CHECK(answers[0].first == w.now);
@@ -94,7 +94,7 @@
 // at once; otherwise later callers wait for work whose result is discarded.
 TEST_CASE_FIXTURE(overload_decisions_fixture, "caller, leaves, slot below is free after one link")
 {
-    call_ref id = w.call("faultbook-1", caller_call{"boxwatch", "status", "r1", "", "", {}, {}});
+    call_ref id = w.call("faultbook-1", call_request{"boxwatch", "status", "r1", "", "", {}, {}});
     w.run_for(milliseconds(5));
     CHECK(w.nodes.at("boxwatch-1").slots_used == 1);
     SUBCASE("cancellation on")
@@ -105,7 +105,7 @@
     }
     SUBCASE("cancellation off")
     {
-        w.nodes.at("boxwatch-1").rules.cancel_below = false;
+        w.nodes.at("boxwatch-1").rules.propagate_cancellation = false;
         w.feed("faultbook-1", call_abandoned{id});
         w.run_for(w.link_delay);
         CHECK(w.nodes.at("boxwatch-1").slots_used == 1);
@@ -115,7 +115,7 @@
 TEST_CASE("queue, protected call among others, goes first")
 {
     run_queue queue;
-    queue.limit = queue.bound = 4;
+    queue.hard_limit = queue.soft_limit = 4;
     enqueue(queue, fresh_run(1, 1, 5));
     enqueue(queue, waiting_run{run_ref{2}, make_priority(0, 9), true, false});
     CHECK(dequeue(queue) == run_ref{2});
@@ -129,7 +129,7 @@
 {
     for (bool by_priority : {false, true}) {
         run_queue queue;
-        queue.limit = queue.bound = 2;
+        queue.hard_limit = queue.soft_limit = 2;
         queue.by_priority = by_priority;
         enqueue(queue, fresh_run(1, 3, 9));
         enqueue(queue, fresh_run(2, 3, 5));
@@ -141,8 +141,8 @@
 TEST_CASE("queue, beyond its bound, calls with slots spent keep their places")
 {
     run_queue queue;
-    queue.limit = 3;
-    queue.bound = 1;
+    queue.hard_limit = 3;
+    queue.soft_limit = 1;
     waiting_run worked{run_ref{1}, make_priority(3, 100), false, true};
     CHECK_FALSE(enqueue(queue, worked));
     CHECK(enqueue(queue, fresh_run(2, 1, 1)) == run_ref{2});
@@ -173,29 +173,29 @@
 // level were dropped, all refused requests would reach the service at once.
 TEST_CASE("touch table, service not heard of, its level rises by steps")
 {
-    touch_table table;
+    dependency_table table;
     time_point start{seconds(10)};
-    learn_touch(table, "photodesk/photo", "boxwatch");
-    learn_level(table, "boxwatch", admission_level{100}, start);
+    record_reached(table, "photodesk/photo", "boxwatch");
+    record_reported_level(table, "boxwatch", admission_level{100}, start);
     entry_request next{"photodesk/photo", priority{150}, false};
     entry_request last{"photodesk/photo", priority{500}, false};
-    CHECK(refusing_service(table, next, start + milliseconds(200)) == "boxwatch");
-    CHECK_FALSE(refusing_service(table, next, start + milliseconds(350)));
-    CHECK(refusing_service(table, last, start + milliseconds(350)) == "boxwatch");
+    CHECK(find_refusing_service(table, next, start + milliseconds(200)) == "boxwatch");
+    CHECK_FALSE(find_refusing_service(table, next, start + milliseconds(350)));
+    CHECK(find_refusing_service(table, last, start + milliseconds(350)) == "boxwatch");
 }
 
 TEST_CASE("touch table, type that rarely reaches a service, not refused for it")
 {
-    touch_table table;
+    dependency_table table;
     time_point now{seconds(10)};
-    learn_touch(table, "faultbook/log", "boxwatch");
-    learn_level(table, "boxwatch", admission_level{0}, now);
+    record_reached(table, "faultbook/log", "boxwatch");
+    record_reported_level(table, "boxwatch", admission_level{0}, now);
     entry_request request{"faultbook/log", priority{300}, false};
-    CHECK(refusing_service(table, request, now));
+    CHECK(find_refusing_service(table, request, now));
     for (int i = 0; i < 20; ++i) {
-        learn_no_touch(table, "faultbook/log", "boxwatch");
+        record_not_reached(table, "faultbook/log", "boxwatch");
     }
-    CHECK_FALSE(refusing_service(table, request, now));
+    CHECK_FALSE(find_refusing_service(table, request, now));
 }
 
 // The only worker of one zone is full while that of the other zone is idle. Without
@@ -222,9 +222,9 @@
         return n;
     };
     CHECK(count_spilled() == 0);
-    note_queue_wait(routes, "till-perth-a", milliseconds(12));
+    record_queue_wait(routes, "till-perth-a", milliseconds(12));
     CHECK(count_spilled() == doctest::Approx(250).epsilon(0.2));
-    note_queue_wait(routes, "till-perth-a", milliseconds(200));
+    record_queue_wait(routes, "till-perth-a", milliseconds(200));
     CHECK(count_spilled() == doctest::Approx(500).epsilon(0.2));
 }
 
@@ -246,7 +246,7 @@
     route_request request{"till", "intake-1", "", {}};
     for (int failing = 1; failing <= 4; ++failing) {
         for (int i = 0; i < 3; ++i) {
-            note_failed(routes, "till-" + std::to_string(failing - 1), now);
+            record_failure(routes, "till-" + std::to_string(failing - 1), now);
         }
         std::set<std::string> chosen;
         for (int i = 0; i < 200; ++i) {
@@ -281,14 +281,14 @@
 {
     node &served = w.nodes.at("boxwatch-1");
     for (int i = 0; i < 8; ++i) {
-        learn_run_time(served.times, "status", milliseconds(100));
+        record_run_time(served.times, "status", milliseconds(100));
     }
     for (bool refuse_hopeless : {false, true}) {
-        served.rules.refuse_hopeless = refuse_hopeless;
+        served.rules.refuse_unfinishable = refuse_hopeless;
         answers.clear();
         time_point sent_at = w.now;
         std::string id = refuse_hopeless ? "r2" : "r1";
-        w.call("faultbook-1", caller_call{"boxwatch", "status", id, "", "", milliseconds(30), {}});
+        w.call("faultbook-1", call_request{"boxwatch", "status", id, "", "", milliseconds(30), {}});
         w.run_for(milliseconds(100));
         REQUIRE(answers.size() == 1);
         CHECK(answers[0].second.refusal == wire::refusal::deadline);
@@ -305,7 +305,7 @@
     for (int i = 0; i < 8; ++i) {
         CHECK(can_finish(times, "status", duration{},
                          seconds(1)));  // too few recorded runs to refuse a call
-        learn_run_time(times, "status", seconds(5));
+        record_run_time(times, "status", seconds(5));
     }
     int refused = 0;
     while (!can_finish(times, "status", duration{}, seconds(1))) {
--- a/test/unit/retry_bound.cpp
+++ b/test/unit/retry_bound.cpp
@@ -38,7 +38,7 @@
     static constexpr std::uint16_t nodes_each = 3;
 
     test::test_publisher publisher;
-    test::world w{7};
+    test::simulation w{7};
     std::vector<planned_call> plan;
     std::vector<std::size_t> runs_of;  ///< runs so far, by index in the plan
     std::map<std::pair<std::string, call_ref>, std::function<void(bool)>> waiting;
@@ -68,15 +68,15 @@
                                                    service, ++number, 64, publisher.trusted()));
                 // Disabled because a request that lost two runs would be refused
                 // before it has used its allowance, and the bound would not be reached.
-                made.suspects.refuse_crashers = false;
+                made.suspects.refuse_suspects = false;
             }
         }
         w.run_for(seconds(3));
     }
 
-    caller_call make_call(std::size_t index, const std::string &id, const std::string &context)
+    call_request make_call(std::size_t index, const std::string &id, const std::string &context)
     {
-        return caller_call{
+        return call_request{
             "s" + std::to_string(index % services), std::to_string(index), id, "", context, {}, {}};
     }
 
@@ -204,7 +204,7 @@
         plan = generate_plan(seed);
         constexpr std::uint64_t loss_choices = 3;
         constexpr double loss_step = 0.02;
-        w.loss = static_cast<double>(seed % loss_choices) * loss_step;
+        w.loss_rate = static_cast<double>(seed % loss_choices) * loss_step;
         std::uint64_t n = retries_of_request();
         max_retries = std::max(max_retries, n);
         retried_requests += n > 0 ? 1 : 0;
@@ -225,5 +225,5 @@
     w.call("s0-0", make_call(0, "r", "s0-0:1:999999"));
     w.run_for(milliseconds(250));
     CHECK(count_retries() == before);
-    CHECK(w.nodes.at("s0-0").counters.contexts_unknown == 1);
+    CHECK(w.nodes.at("s0-0").counters.unknown_contexts == 1);
 }
--- a/test/unit/retry_deep.cpp
+++ b/test/unit/retry_deep.cpp
@@ -21,7 +21,7 @@
 struct retry_deep_fixture
 {
     test::test_publisher publisher;
-    test::world w{9};
+    test::simulation w{9};
     std::vector<caller_answer> answers;
     std::map<call_ref, std::pair<std::string, run_ref>> callers;
     std::uint64_t last_call = 1000;
@@ -67,7 +67,7 @@
         }
         call_ref call{++last_call};
         callers[call] = {instance, run.run};
-        caller_call next{"s" + std::to_string(service + 1), "go", "", "", run.context, {}, {}};
+        call_request next{"s" + std::to_string(service + 1), "go", "", "", run.context, {}, {}};
         w.feed(instance, call_arrived{call, std::move(next)});
     }
 };
@@ -79,7 +79,7 @@
 // allowance, the hop that could send the call to another upstream has none left.
 TEST_CASE_FIXTURE(retry_deep_fixture, "refused once four deep, allowance of three, answered whole")
 {
-    w.call("s0a", caller_call{"s0", "go", "r1", "", "", {}, {}});
+    w.call("s0a", call_request{"s0", "go", "r1", "", "", {}, {}});
     w.run_for(milliseconds(200));
     REQUIRE(answers.size() == 1);
     CHECK(answers[0].outcome == wire::outcome::ran);
--- a/test/unit/retry_join.cpp
+++ b/test/unit/retry_join.cpp
@@ -17,7 +17,7 @@
 struct retry_join_fixture
 {
     test::test_publisher publisher;
-    test::world w{3};
+    test::simulation w{3};
     std::vector<std::pair<call_ref, caller_answer>> answers;
     std::uint32_t runs = 0;
     std::uint32_t cancelled = 0;
@@ -43,7 +43,7 @@
     call_ref send_call(body_bytes body = {1})
     {
         return w.call("tracker-1",
-                      caller_call{"tracker", "status", "r1", "", "", {}, std::move(body)});
+                      call_request{"tracker", "status", "r1", "", "", {}, std::move(body)});
     }
 };
 
@@ -106,5 +106,5 @@
     CHECK(cancelled == 1);
     CHECK(answers.empty());
     CHECK(w.nodes.at("tracker-1").calls.empty());
-    CHECK(w.nodes.at("tracker-1").joined.empty());
+    CHECK(w.nodes.at("tracker-1").joined_repeats.empty());
 }
--- a/test/unit/route_choice.cpp
+++ b/test/unit/route_choice.cpp
@@ -115,7 +115,7 @@
     std::set<std::string> chosen;
     auto eject = [&](const std::string &instance) {
         for (int i = 0; i < 3; ++i) {
-            note_failed(routes, instance, now);
+            record_failure(routes, instance, now);
         }
     };
     auto count_chosen = [&] {
--- a/test/unit/suspects_crash.cpp
+++ b/test/unit/suspects_crash.cpp
@@ -36,7 +36,7 @@
 struct suspects_fixture
 {
     test::test_publisher publisher;
-    test::world w{1};
+    test::simulation w{1};
     std::map<call_ref, caller_answer> answers;
     std::map<std::string, std::set<run_ref>> running;
     std::map<std::string, int> runs;  ///< by request
@@ -119,7 +119,7 @@
                   const std::string &operation = "status", const std::string &key = "")
     {
         return w.call(name(entry),
-                      caller_call{"boxwatch", operation, request, key, "", {}, {first, 1}});
+                      call_request{"boxwatch", operation, request, key, "", {}, {first, 1}});
     }
 
     /// Sends the crashing request repeatedly, rotating through all zones.
@@ -134,7 +134,7 @@
     void disable_refusals()
     {
         for (auto &[instance, it] : w.nodes) {
-            it.suspects.refuse_crashers = false;
+            it.suspects.refuse_suspects = false;
         }
     }
 
@@ -183,8 +183,8 @@
 
 TEST_CASE_FIXTURE(suspects_fixture, "crasher, zone cut off, takes down two workers per side")
 {
-    w.cuts.insert({"midrand", "germiston"});
-    w.cuts.insert({"midrand", "centurion"});
+    w.partitions.insert({"midrand", "germiston"});
+    w.partitions.insert({"midrand", "centurion"});
     send_poison_requests(24, milliseconds(300));
     CHECK(crashes <= 4);
     CHECK(answers.at(last_sent).refusal == wire::refusal::suspect);
@@ -243,14 +243,14 @@
 TEST_CASE_FIXTURE(suspects_fixture, "zone cut off, queries in flight, no suspects remain")
 {
     for (auto &[instance, it] : w.nodes) {
-        note_suspect(it.suspects, "query", gullstall::crash{"peer:boxwatch-0", "boxwatch-0", 1},
-                     w.now);
-        note_suspect(it.suspects, "query", gullstall::crash{"peer:boxwatch-1", "boxwatch-1", 1},
-                     w.now);
+        record_suspect(it.suspects, "query", gullstall::crash{"peer:boxwatch-0", "boxwatch-0", 1},
+                       w.now);
+        record_suspect(it.suspects, "query", gullstall::crash{"peer:boxwatch-1", "boxwatch-1", 1},
+                       w.now);
     }
     CHECK(crashes_of(w.nodes.at(name(3)).suspects, "query") == 2);
-    w.cuts.insert({"midrand", "germiston"});
-    w.cuts.insert({"midrand", "centurion"});
+    w.partitions.insert({"midrand", "germiston"});
+    w.partitions.insert({"midrand", "centurion"});
     w.run_for(seconds(6));
     CHECK(crashes_of(w.nodes.at(name(3)).suspects, "query") == 0);
     call_ref id = send(3, "query", 1);
@@ -263,9 +263,9 @@
     // Both requests were in flight at one crash that only one of them caused.
     auto suspects_after = [this](bool alone) {
         for (auto &[instance, it] : w.nodes) {
-            it.suspects.run_alone = alone;
+            it.suspects.isolate_suspects = alone;
             for (const char *request : {"crasher", "query"}) {
-                note_suspect(it.suspects, request, gullstall::crash{"first", "", 0}, w.now);
+                record_suspect(it.suspects, request, gullstall::crash{"first", "", 0}, w.now);
             }
         }
         send(0, "query", 1);
--- a/test/unit/timeline_view.cpp
+++ b/test/unit/timeline_view.cpp
@@ -22,7 +22,7 @@
 struct timeline_fixture
 {
     test::test_publisher publisher;
-    test::world w{1};
+    test::simulation w{1};
 
     timeline_fixture()
     {
@@ -64,7 +64,7 @@
 
 TEST_CASE_FIXTURE(timeline_fixture, "events, one request over two nodes, cause before effect")
 {
-    w.call("dispatcher-1", caller_call{"boxwatch", "status", "r1", "", "", {}, {}});
+    w.call("dispatcher-1", call_request{"boxwatch", "status", "r1", "", "", {}, {}});
     w.run_for(seconds(1));
     auto events = select_events(gather(), event_filter{"r1", "", "", ""});
     CHECK(kinds_of(events) == std::vector<std::string>{"call_taken", "call_sent", "run_started",
@@ -99,7 +99,7 @@
 {
     w.kill("boxwatch-1");
     w.run_for(seconds(1));
-    w.call("dispatcher-1", caller_call{"photodesk", "photo", "r2", "", "", {}, {}});
+    w.call("dispatcher-1", call_request{"photodesk", "photo", "r2", "", "", {}, {}});
     std::string text = explain_refusals(gather(), "r2");
     CHECK(text.find("r2: not_run, reason no_upstream, refused by photodesk") == 0);
     CHECK(text.find("call photodesk/photo at dispatcher-1 in germiston") != std::string::npos);
